--- a/crates/valehold-core/examples/cold_rates.rs
+++ b/crates/valehold-core/examples/cold_rates.rs
@@ -1,11 +1,12 @@
-//! How many requests cold upstreams get by three ways to share what they bear
-//! among gateways, and how many of those that they bear.
+//! Measures how many requests cold upstreams get under three policies that
+//! share an upstream's rated load among gateways, and how much of the rated
+//! load each policy uses.
 //!
 //! `cargo run --release -p valehold-core --example cold_rates`
 //!
-//! Each of 20 upstreams is the only one that can answer the requests that are
-//! offered for it. Gateways see as many of them each, by chance. What they
-//! know of one another is the same at all, or each misses one in ten.
+//! Each of 20 upstreams is the only one that can answer the requests offered
+//! for it. Each request arrives at a random gateway. The gateways either all
+//! know the same members, or each gateway misses one in ten of the others.
 
 use std::{collections::VecDeque, net::SocketAddr};
 
@@ -13,7 +14,7 @@
     Millis,
     fleet::{
         catalog::ColdSpec,
-        cold::{ColdBound, Grantor, RightAnswer, SendRights},
+        cold::{ColdBound, PermitGrantor, PermitReply, SendPermits},
     },
     id::UpstreamId,
     rendezvous,
@@ -23,27 +24,27 @@
 
 const SPEC: ColdSpec = ColdSpec { lasts_ms: 3_000, bears_per_second: 13.0 };
 
-/// How many upstreams come back together.
+/// The number of upstreams that restart together.
 const UPSTREAMS: usize = 20;
 
-/// For how long they are cold, in ms.
+/// The time for which the upstreams are cold, in ms.
 const COLD_MS: u64 = 3_000;
 
-/// How long a question to another gateway and its answer take, in ms.
-const ASK_MS: u64 = 15;
+/// The round trip of a permit request, in ms.
+const ROUND_TRIP_MS: u64 = 15;
 
-/// After how many ms all know what was told.
-const TOLD_MS: u64 = 350;
+/// The time after which all gateways know an advertised send, in ms.
+const PROPAGATION_MS: u64 = 350;
 
-/// A generator that repeats itself.
-struct Chance(u64);
+/// A pseudo-random number generator with a fixed seed.
+struct Rng(u64);
 
-impl Chance {
-    fn below(&mut self, most: u64) -> u64 {
+impl Rng {
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 >> 12;
         self.0 ^= self.0 << 25;
         self.0 ^= self.0 >> 27;
-        (self.0.wrapping_mul(0x2545_F491_4F6C_DD1D) >> 33) % most
+        (self.0.wrapping_mul(0x2545_F491_4F6C_DD1D) >> 33) % bound
     }
 }
 
@@ -56,15 +57,16 @@
     SocketAddr::from(([10, 0, high, low], 7_104))
 }
 
-/// A way to share what cold upstreams bear.
-trait Way {
-    /// Tells whether a gateway may send a request to an upstream, and after
-    /// how many ms it is sent.
+/// A policy that shares the rated load of a cold upstream among gateways.
+trait SharingPolicy {
+    /// Returns the delay in ms after which a gateway sends a request to an
+    /// upstream, or `None` if the gateway may not send the request.
     fn may_send(&mut self, gateway: usize, to: usize, ms: u64) -> Option<u64>;
 }
 
-/// A few gateways for each upstream, the first by rendezvous of those that
-/// each knows; an owner sends one at a time with a gap between.
+/// Policy `owners`: each gateway ranks the members that it knows by rendezvous
+/// hashing. The first 13 own the upstream, and each owner sends one request
+/// per gap.
 struct Owners {
     owned: Vec<Vec<bool>>,
     last: Vec<Vec<Option<u64>>>,
@@ -91,7 +93,7 @@
     }
 }
 
-impl Way for Owners {
+impl SharingPolicy for Owners {
     fn may_send(&mut self, gateway: usize, to: usize, ms: u64) -> Option<u64> {
         let last = &mut self.last[gateway][to];
         let is_due = last.is_none_or(|at| ms - at >= self.gap_ms);
@@ -103,61 +105,63 @@
     }
 }
 
-/// One gateway for each upstream that gives out rights to those that ask.
-struct Asked {
-    grantors: Vec<Grantor>,
+/// Policy `asked`: one grantor for each upstream issues permits on request.
+struct Granted {
+    grantors: Vec<PermitGrantor>,
     views: Vec<Vec<SocketAddr>>,
-    rights: Vec<SendRights>,
+    permits: Vec<SendPermits>,
 }
 
-impl Asked {
+impl Granted {
     fn new(views: &[Vec<usize>]) -> Self {
         let addresses =
             |view: &Vec<usize>| view.iter().map(|one| address(*one)).collect();
         let views: Vec<Vec<SocketAddr>> =
             views.iter().map(addresses).collect();
-        let heard = |(own, view): (usize, &Vec<SocketAddr>)| {
-            let mut grantor = Grantor::new(address(own), Millis::new(0));
+        let with_members = |(own, view): (usize, &Vec<SocketAddr>)| {
+            let mut grantor = PermitGrantor::new(address(own), Millis::new(0));
             for ms in (0..=2_000).step_by(250) {
-                grantor.hear(view, true, Millis::new(ms));
+                grantor.update_members(view, true, Millis::new(ms));
             }
             grantor
         };
-        let grantors: Vec<Grantor> =
-            views.iter().enumerate().map(heard).collect();
-        let rights = grantors.iter().map(|_| SendRights::new(0)).collect();
-        Self { grantors, views, rights }
+        let grantors: Vec<PermitGrantor> =
+            views.iter().enumerate().map(with_members).collect();
+        let permits = grantors.iter().map(|_| SendPermits::new(0)).collect();
+        Self { grantors, views, permits }
     }
 }
 
-impl Way for Asked {
+impl SharingPolicy for Granted {
     fn may_send(&mut self, gateway: usize, to: usize, ms: u64) -> Option<u64> {
         let id = upstream(to);
         let clock = Millis::new(2_000 + ms);
-        let rights = &mut self.rights[gateway];
-        if rights.denied_ms(&id, clock) > 0 {
+        let permits = &mut self.permits[gateway];
+        if permits.denied_ms(&id, clock) > 0 {
             return None;
         }
-        let ask = rights.ask(&id, clock);
-        let asked = self.grantors[gateway].grantor(&id)?;
-        let place = (0..self.grantors.len()).find(|g| address(*g) == asked)?;
-        let most = BOUND.rights_in_window(&SPEC);
-        let grantor = &mut self.grantors[place];
-        grantor.hear(&self.views[place], true, clock);
-        let answer = grantor.answer(&id, most, clock);
-        let rights = &mut self.rights[gateway];
-        rights.answered(ask.number, answer, clock + ASK_MS);
-        rights.take(&id, clock + ASK_MS)?;
-        (answer == RightAnswer::Granted).then_some(ASK_MS)
+        let request = permits.request(&id, clock);
+        let target = self.grantors[gateway].grantor(&id)?;
+        let index =
+            (0..self.grantors.len()).find(|g| address(*g) == target)?;
+        let max = BOUND.permits_per_window(&SPEC);
+        let grantor = &mut self.grantors[index];
+        grantor.update_members(&self.views[index], true, clock);
+        let reply = grantor.answer(&id, max, clock);
+        let permits = &mut self.permits[gateway];
+        permits.on_reply(request.number, reply, clock + ROUND_TRIP_MS);
+        permits.take(&id, clock + ROUND_TRIP_MS)?;
+        (reply == PermitReply::Granted).then_some(ROUND_TRIP_MS)
     }
 }
 
-/// All tell what they sent, and send while the sum is below what is borne.
-struct Told {
+/// Policy `told`: each gateway advertises what it sent, and sends while the sum
+/// is below the rated load.
+struct Advertised {
     sent: Vec<VecDeque<(u64, usize)>>,
 }
 
-impl Way for Told {
+impl SharingPolicy for Advertised {
     fn may_send(&mut self, gateway: usize, to: usize, ms: u64) -> Option<u64> {
         let sent = &mut self.sent[to];
         while sent.front().is_some_and(|(at, _)| at + 1_000 < ms) {
@@ -165,7 +169,7 @@
         }
         let known = sent
             .iter()
-            .filter(|(at, by)| *by == gateway || at + TOLD_MS <= ms);
+            .filter(|(at, by)| *by == gateway || at + PROPAGATION_MS <= ms);
         let may = known.count() < 13;
         may.then(|| {
             sent.push_back((ms, gateway));
@@ -174,35 +178,35 @@
     }
 }
 
-/// Returns the most that one upstream got in a second, and what each got a
-/// second on average.
-fn play(
-    way: &mut dyn Way,
+/// Returns the most requests that one upstream got in any second, and the mean
+/// number of requests per second and upstream.
+fn simulate(
+    policy: &mut dyn SharingPolicy,
     gateways: usize,
     offered_per_second: u64,
-    chance: &mut Chance,
+    rng: &mut Rng,
 ) -> (usize, f64) {
     let mut sends = vec![Vec::new(); UPSTREAMS];
     for ms in 0..COLD_MS {
         for (to, sends) in sends.iter_mut().enumerate() {
-            if chance.below(1_000) >= offered_per_second {
+            if rng.below(1_000) >= offered_per_second {
                 continue;
             }
-            let gateway = usize::try_from(chance.below(gateways as u64));
+            let gateway = usize::try_from(rng.below(gateways as u64));
             let gateway = gateway.unwrap_or(0);
-            if let Some(after_ms) = way.may_send(gateway, to, ms) {
+            if let Some(after_ms) = policy.may_send(gateway, to, ms) {
                 sends.push(ms + after_ms);
             }
         }
     }
-    let most = sends.iter().map(|sends| most_in_a_second(sends));
+    let max = sends.iter().map(|sends| max_per_second(sends));
     let all: usize = sends.iter().map(Vec::len).sum();
     #[allow(clippy::cast_precision_loss)]
     let mean = all as f64 * 1_000.0 / COLD_MS as f64 / UPSTREAMS as f64;
-    (most.max().unwrap_or(0), mean)
+    (max.max().unwrap_or(0), mean)
 }
 
-fn most_in_a_second(sends: &[u64]) -> usize {
+fn max_per_second(sends: &[u64]) -> usize {
     let counts = sends.iter().enumerate().map(|(index, from)| {
         let rest = sends[index..].iter();
         rest.take_while(|to| **to - from <= 1_000).count()
@@ -214,32 +218,32 @@
     println!("gateways views offered way most_in_1s used_per_s");
     for gateways in [89, 300, 390] {
         for missed_of_10 in [0, 1] {
-            let mut chance = Chance(7);
+            let mut rng = Rng(7);
             let views: Vec<Vec<usize>> = (0..gateways)
                 .map(|own| {
-                    let hears = |one: &usize| {
-                        *one == own || chance.below(10) >= missed_of_10
+                    let knows = |one: &usize| {
+                        *one == own || rng.below(10) >= missed_of_10
                     };
-                    (0..gateways).filter(hears).collect()
+                    (0..gateways).filter(knows).collect()
                 })
                 .collect();
             for offered in [5, 13, 60] {
-                let mut ways: [(&str, Box<dyn Way>); 3] = [
+                let mut policies: [(&str, Box<dyn SharingPolicy>); 3] = [
                     ("owners", Box::new(Owners::new(&views))),
-                    ("asked", Box::new(Asked::new(&views))),
+                    ("asked", Box::new(Granted::new(&views))),
                     (
                         "told",
-                        Box::new(Told {
+                        Box::new(Advertised {
                             sent: vec![VecDeque::new(); UPSTREAMS],
                         }),
                     ),
                 ];
-                for (name, way) in &mut ways {
-                    let played =
-                        play(&mut **way, gateways, offered, &mut chance);
-                    let (most, used) = played;
+                for (name, policy) in &mut policies {
+                    let result =
+                        simulate(&mut **policy, gateways, offered, &mut rng);
+                    let (max, used) = result;
                     println!(
-                        "{gateways} {missed_of_10} {offered} {name} {most} {used:.1}"
+                        "{gateways} {missed_of_10} {offered} {name} {max} {used:.1}"
                     );
                 }
             }
--- a/crates/valehold-core/examples/upstream_words.rs
+++ b/crates/valehold-core/examples/upstream_words.rs
@@ -1,5 +1,6 @@
-//! What it costs each request that upstreams may rest, and each change of the
-//! list that upstreams may have said that they leave.
+//! Measures two lookups in what upstreams have announced: the check for each
+//! request of which upstreams are in backoff, and the check for each change of
+//! the list of which upstreams are leaving.
 //!
 //! `cargo run --release -p valehold-core --example upstream_words`
 
@@ -13,14 +14,14 @@
     id::UpstreamId,
 };
 
-/// How often each is done; the mean is printed.
+/// The number of runs of each operation; the mean is printed.
 const ROUNDS: u32 = 2_000;
 
-/// How many upstreams a request is weighed between: those that hold a model
-/// that is asked for much.
+/// The number of candidates of a request: the upstreams that hold a model in
+/// high demand.
 const HOLDERS: u32 = 40;
 
-/// How many upstreams there are.
+/// The number of upstreams.
 const UPSTREAMS: usize = 1_500;
 
 fn main() {
@@ -59,10 +60,10 @@
     UpstreamStart { id, birth: None }
 }
 
-fn mean_ns(mut act: impl FnMut()) -> f64 {
-    let began = Instant::now();
+fn mean_ns(mut operation: impl FnMut()) -> f64 {
+    let started = Instant::now();
     for _ in 0..ROUNDS {
-        act();
+        operation();
     }
-    began.elapsed().as_secs_f64() * 1e9 / f64::from(ROUNDS)
+    started.elapsed().as_secs_f64() * 1e9 / f64::from(ROUNDS)
 }
--- a/crates/valehold-core/src/fleet/cold/grantor.rs
+++ b/crates/valehold-core/src/fleet/cold/grantor.rs
@@ -1,11 +1,11 @@
-//! Giving out rights to send to cold upstreams and to those in need.
+//! Issues the permits to send to cold and rate-limited upstreams.
 
 use std::{
     collections::{BTreeMap, VecDeque},
     net::SocketAddr,
 };
 
-use super::{RIGHT_HOLDS_MS, RightAnswer};
+use super::{PERMIT_LIFETIME_MS, PermitReply};
 use crate::{
     fleet::{upstream_limit::RequestRate, window::Window},
     id::UpstreamId,
@@ -14,34 +14,38 @@
     time::Millis,
 };
 
-/// How long a gateway takes itself for the grantor before it gives out
-/// rights, in ms: all hear of a gateway that came or went within so long, and
-/// the rights of the one before are over.
-const HANDOVER_MS: u64 = 1_000 + RIGHT_HOLDS_MS;
+/// The time for which a gateway has to be the grantor before it issues
+/// permits, in ms. Within 1,000 ms all gateways learn that a gateway joined or
+/// left, and the permits of the previous grantor then expire.
+const HANDOVER_MS: u64 = 1_000 + PERMIT_LIFETIME_MS;
 
-/// After how long without a word of who is there a gateway stood still, in
-/// ms: it does not know what happened meanwhile, as if it had just started.
-const STOOD_STILL_MS: u64 = 1_500;
+/// The time without an update of the live members after which a gateway counts
+/// as stalled, in ms. The gateway does not know what happened meanwhile, and
+/// waits for [`HANDOVER_MS`] again like one that has just started.
+const STALL_MS: u64 = 1_500;
 
-/// The window in which rights are counted, in ms: a request is sent within the
-/// time that its right holds, and a busy machine may write it a little later.
-const WINDOW_MS: u64 = 1_000 + RIGHT_HOLDS_MS + 50;
+/// The window in which issued permits are counted, in ms. A request is sent
+/// within the lifetime of its permit; a busy machine may write the request up
+/// to 50 ms later.
+const WINDOW_MS: u64 = 1_000 + PERMIT_LIFETIME_MS + 50;
 
-/// For how many seconds of its rate an upstream in need may get rights at once,
-/// if it got none before.
+/// The burst of permits that a rate-limited upstream may get after an idle
+/// time, in seconds of its rate.
 const LIMITED_BURST_S: f64 = 0.5;
 
-/// For how long it is kept what an upstream in need got, in ms, if nobody asks.
-const KEEP_LIMITED_MS: u64 = 60_000;
+/// The time after the last permit request for which the token bucket of a
+/// rate-limited upstream is kept, in ms.
+const LIMITED_RETENTION_MS: u64 = 60_000;
 
-/// In how many ms to ask again who is not the grantor, or not yet.
-const NOT_GRANTOR_MS: u32 = 250;
+/// The retry time sent by a gateway that is not the grantor, or has not been
+/// the grantor for long enough, in ms.
+const NOT_GRANTOR_RETRY_MS: u32 = 250;
 
-/// The gateways that were there from some moment on.
+/// The gateways that were live from some time on.
 #[derive(Debug, Clone)]
 struct Members {
     from: Millis,
-    /// Each with its name for the rendezvous hash.
+    /// Each address with its text, which is the key of the rendezvous hash.
     all: Vec<(SocketAddr, String)>,
     are_most: bool,
 }
@@ -54,66 +58,75 @@
     }
 }
 
-/// What an upstream in need may get.
+/// The permits that a rate-limited upstream may get.
 #[derive(Debug, Clone)]
 struct Limited {
-    rights: TokenBucket,
-    asked: Millis,
+    permits: TokenBucket,
+    requested_at: Millis,
 }
 
-/// One gateway's part in giving out rights to send to cold upstreams and to
-/// those in need.
+/// Issues permits to send to the cold and rate-limited upstreams of which this
+/// gateway is the grantor.
 #[derive(Debug, Clone)]
-pub struct Grantor {
+pub struct PermitGrantor {
     own: SocketAddr,
-    /// Who was there lately, the newest last.
+    /// The recent sets of live members, the newest last.
     members: VecDeque<Members>,
-    heard: Millis,
-    given: BTreeMap<UpstreamId, Window>,
+    updated_at: Millis,
+    issued: BTreeMap<UpstreamId, Window>,
     limited: BTreeMap<UpstreamId, Limited>,
 }
 
-impl Grantor {
-    /// Makes the part of a gateway that has heard of nobody.
+impl PermitGrantor {
+    /// Creates the grantor of the gateway with the address `own`, which knows
+    /// no members yet.
     pub fn new(own: SocketAddr, now: Millis) -> Self {
-        let (members, given) = (VecDeque::new(), BTreeMap::new());
+        let (members, issued) = (VecDeque::new(), BTreeMap::new());
         let limited = BTreeMap::new();
-        Self { own, members, heard: now, given, limited }
+        Self { own, members, updated_at: now, issued, limited }
     }
 
-    /// Takes in who is there, this gateway among them, and whether they are
-    /// most of those that were there lately.
+    /// Records the live members including this gateway, and whether they are
+    /// the majority of the recent members.
     ///
-    /// A gateway that hears few of the others may be cut off from the grantor
-    /// of the others, and is none itself.
-    pub fn hear(&mut self, all: &[SocketAddr], are_most: bool, now: Millis) {
-        if now.since(self.heard) >= STOOD_STILL_MS {
+    /// A gateway that does not receive from the majority may be cut off from
+    /// the grantor on which the other gateways agree, and issues no permits.
+    pub fn update_members(
+        &mut self,
+        all: &[SocketAddr],
+        are_most: bool,
+        now: Millis,
+    ) {
+        if now.since(self.updated_at) >= STALL_MS {
             self.members.clear();
         }
-        self.heard = now;
-        let is_known = self.members.back().is_some_and(|last| {
+        self.updated_at = now;
+        let is_unchanged = self.members.back().is_some_and(|last| {
             let known = last.all.iter().map(|(address, _)| address);
             last.are_most == are_most && known.eq(all.iter())
         });
-        if is_known {
+        if is_unchanged {
             return;
         }
         let named = all.iter().map(|one| (*one, one.to_string())).collect();
         let newest = Members { from: now, all: named, are_most };
         self.members.push_back(newest);
-        // All but the last that began so long ago are over.
-        let is_over = |next: &Members| now.since(next.from) >= HANDOVER_MS;
-        while self.members.get(1).is_some_and(is_over) {
+        // Of the sets that began `HANDOVER_MS` ago or earlier, only the last
+        // one still matters.
+        let is_expired = |next: &Members| now.since(next.from) >= HANDOVER_MS;
+        while self.members.get(1).is_some_and(is_expired) {
             self.members.pop_front();
         }
     }
 
-    /// Returns the grantor of an upstream, as far as this gateway knows.
+    /// Returns the grantor of an upstream among the current members, or `None`
+    /// if no members are known.
     pub fn grantor(&self, upstream: &UpstreamId) -> Option<SocketAddr> {
         self.members.back()?.grantor(upstream)
     }
 
-    /// Tells whether this gateway has been the grantor for long enough.
+    /// Reports whether this gateway has been the grantor of an upstream for
+    /// [`HANDOVER_MS`].
     fn is_grantor(&self, upstream: &UpstreamId, now: Millis) -> bool {
         for members in self.members.iter().rev() {
             let is_own = members.grantor(upstream) == Some(self.own);
@@ -127,70 +140,78 @@
         false
     }
 
-    /// Answers who asks for a right, of which `most` may be given out in a
-    /// window.
+    /// Answers a permit request for a cold upstream, for which at most `max`
+    /// permits may be issued in a window.
     pub fn answer(
         &mut self,
         upstream: &UpstreamId,
-        most: usize,
+        max: usize,
         now: Millis,
-    ) -> RightAnswer {
-        if !self.may_grant(upstream, now) {
-            return RightAnswer::Denied { next_ms: NOT_GRANTOR_MS };
+    ) -> PermitReply {
+        if !self.may_issue(upstream, now) {
+            return PermitReply::Denied {
+                retry_after_ms: NOT_GRANTOR_RETRY_MS,
+            };
         }
-        let given = self
-            .given
+        let issued = self
+            .issued
             .entry(upstream.clone())
             .or_insert_with(|| Window::new(WINDOW_MS));
-        if given.count(now) < most {
-            given.note(now);
-            return RightAnswer::Granted;
+        if issued.count(now) < max {
+            issued.note(now);
+            return PermitReply::Granted;
         }
-        let oldest_ms = given.oldest().map_or(0, |at| now.since(at));
+        let oldest_ms = issued.oldest().map_or(0, |at| now.since(at));
         let left_ms = WINDOW_MS.saturating_sub(oldest_ms).max(1);
-        let next_ms = u32::try_from(left_ms).unwrap_or(u32::MAX);
-        RightAnswer::Denied { next_ms }
+        let retry_after_ms = u32::try_from(left_ms).unwrap_or(u32::MAX);
+        PermitReply::Denied { retry_after_ms }
     }
 
-    /// Answers who asks for a right to send to an upstream in need.
+    /// Answers a permit request for a rate-limited upstream.
     ///
-    /// Rights come evenly at the rate, from none at the beginning: the grantor
-    /// before this one may just have given out what there was.
+    /// Permits accrue evenly at the rate. The token bucket starts empty, since
+    /// the previous grantor may just have issued all available permits.
     pub fn answer_limited(
         &mut self,
         upstream: &UpstreamId,
         rate: RequestRate,
         now: Millis,
-    ) -> RightAnswer {
-        if !self.may_grant(upstream, now) {
-            return RightAnswer::Denied { next_ms: NOT_GRANTOR_MS };
+    ) -> PermitReply {
+        if !self.may_issue(upstream, now) {
+            return PermitReply::Denied {
+                retry_after_ms: NOT_GRANTOR_RETRY_MS,
+            };
         }
         let rate = rate.per_second();
         let limited =
             self.limited.entry(upstream.clone()).or_insert_with(|| Limited {
-                rights: TokenBucket::new_empty(rate, LIMITED_BURST_S, now),
-                asked: now,
+                permits: TokenBucket::new_empty(rate, LIMITED_BURST_S, now),
+                requested_at: now,
             });
-        limited.asked = now;
-        limited.rights.set_rate(rate, LIMITED_BURST_S, now);
-        match limited.rights.try_take(1.0, now) {
-            Ok(()) => RightAnswer::Granted,
+        limited.requested_at = now;
+        limited.permits.set_rate(rate, LIMITED_BURST_S, now);
+        match limited.permits.try_take(1.0, now) {
+            Ok(()) => PermitReply::Granted,
             Err(left_ms) => {
-                let next_ms = u32::try_from(left_ms).unwrap_or(u32::MAX);
-                RightAnswer::Denied { next_ms }
+                let retry_after_ms =
+                    u32::try_from(left_ms).unwrap_or(u32::MAX);
+                PermitReply::Denied { retry_after_ms }
             }
         }
     }
 
-    /// Tells whether this gateway may give out rights now.
-    fn may_grant(&self, upstream: &UpstreamId, now: Millis) -> bool {
-        let has_stood_still = now.since(self.heard) >= STOOD_STILL_MS;
-        !has_stood_still && self.is_grantor(upstream, now)
+    /// Reports whether this gateway may issue permits for an upstream now.
+    fn may_issue(&self, upstream: &UpstreamId, now: Millis) -> bool {
+        let is_stalled = now.since(self.updated_at) >= STALL_MS;
+        !is_stalled && self.is_grantor(upstream, now)
     }
 
-    /// Forgets upstreams to which no right was given out lately.
-    pub fn sweep(&mut self, now: Millis) {
-        self.limited.retain(|_, one| now.since(one.asked) < KEEP_LIMITED_MS);
-        self.given.retain(|_, given| given.count(now) > 0);
+    /// Removes the token buckets that were not used for
+    /// [`LIMITED_RETENTION_MS`], and the windows that contain no permit.
+    pub fn prune(&mut self, now: Millis) {
+        self.limited.retain(|_, one| {
+            now.since(one.requested_at) < LIMITED_RETENTION_MS
+        });
+        self.issued.retain(|_, issued| issued.count(now) > 0);
     }
 }
--- a/crates/valehold-core/src/fleet/cold/mod.rs
+++ b/crates/valehold-core/src/fleet/cold/mod.rs
@@ -1,83 +1,87 @@
-//! Upstreams that are cold after a start, and who may send to them.
+//! Limits the requests that all gateways together send to a cold upstream.
 //!
-//! A cold upstream bears few requests a second, over all gateways together.
-//! Each gateway has a [`ColdBelief`] of which upstreams are cold until when.
-//! To send to one of them it needs a [`SendRight`] ([`SendRights`]) of the one
-//! gateway that all take for the upstream's grantor ([`Grantor`]): the first
-//! by rendezvous hash of those that are there. Rights are for one request and
-//! end soon, by the clock of the gateway that asked for them. Who hears no
-//! grantor has no right.
+//! An upstream is cold after a start and can serve only a few requests per
+//! second, counted over all gateways. Each gateway keeps a [`ColdEstimate`] of
+//! which upstreams are cold until when. To send to a cold upstream, a gateway
+//! needs a [`SendPermit`] (see [`SendPermits`]) from the upstream's grantor
+//! ([`PermitGrantor`]): the live gateway that rendezvous hashing ranks first.
+//! A permit allows one request and soon expires, by the clock of the gateway
+//! that requested the permit. A gateway that cannot reach the grantor gets no
+//! permit.
 //!
-//! What a grantor gives out in any window leaves room for a second one beside
-//! it: gateways come and go, and for a moment two may take themselves for it.
+//! The permits that a grantor issues in any window leave room for a second
+//! grantor: while gateways join or leave, two gateways may act as the grantor
+//! of one upstream for a moment.
 //!
-//! Upstreams in need, which name how many requests a second they take from all
-//! gateways together ([`upstream_limit`](super::upstream_limit)), are sent to
-//! with rights of the same grantor.
+//! The same grantor issues the permits for rate-limited upstreams, which state
+//! how many requests per second they accept from all gateways together
+//! ([`upstream_limit`](super::upstream_limit)).
 
-mod belief;
-mod book;
+mod estimate;
 mod grantor;
-mod rights;
+mod permits;
+mod state;
 
 use serde::{Deserialize, Serialize};
 
 pub use self::{
-    belief::ColdBelief,
-    book::{ColdBook, RightSight},
-    grantor::Grantor,
-    rights::{RightAsk, SendRight, SendRights},
+    estimate::ColdEstimate,
+    grantor::PermitGrantor,
+    permits::{PermitRequest, SendPermit, SendPermits},
+    state::{ColdPermits, PermitState},
 };
 use super::catalog::ColdSpec;
 
-/// For how long after it was asked for a right holds, in ms: the way to the
-/// grantor and back, and a new connection to the upstream.
-pub const RIGHT_HOLDS_MS: u64 = 200;
+/// The lifetime of a permit from the moment it is requested, in ms: the round
+/// trip to the grantor plus a new connection to the upstream.
+pub const PERMIT_LIFETIME_MS: u64 = 200;
 
-/// Over how many grantors at once the bound holds: the one that all know, and
-/// one more while gateways come or go.
-const GRANTORS_BORNE: f64 = 2.0;
+/// The number of simultaneous grantors for which the bound holds: the one on
+/// which all gateways agree, and a second one while gateways join or leave.
+const MAX_CONCURRENT_GRANTORS: f64 = 2.0;
 
-/// What cold upstreams survive beyond what they bear, over all gateways.
+/// The load that a cold upstream survives beyond its rated load, counted over
+/// all gateways.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBound {
-    /// How many times as many as they bear they survive in any one second.
+    /// The factor by which the requests in any one second may exceed
+    /// [`ColdSpec::bears_per_second`].
     pub overshoot: f64,
-    /// How many more than that, in any one second.
+    /// The number of requests allowed in any one second in addition.
     pub slack: f64,
 }
 
 impl ColdBound {
     /// Returns how many requests a cold upstream may get in any one second.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub fn most_in_a_second(&self, spec: &ColdSpec) -> usize {
-        let most = spec.bears_per_second * self.overshoot + self.slack;
-        most.max(0.0) as usize
+    pub fn max_per_second(&self, spec: &ColdSpec) -> usize {
+        let max = spec.bears_per_second * self.overshoot + self.slack;
+        max.max(0.0) as usize
     }
 
-    /// Returns how many rights one grantor may have out in any window of a
-    /// second and the time that a right holds.
+    /// Returns how many permits one grantor may issue in any window of one
+    /// second plus the lifetime of a permit.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
         clippy::cast_sign_loss
     )]
-    pub fn rights_in_window(&self, spec: &ColdSpec) -> usize {
-        let shared = self.most_in_a_second(spec) as f64 / GRANTORS_BORNE;
-        let window_s = (1_000 + RIGHT_HOLDS_MS) as f64 / 1_000.0;
-        let borne = spec.bears_per_second * window_s;
-        shared.min(borne) as usize
+    pub fn permits_per_window(&self, spec: &ColdSpec) -> usize {
+        let share = self.max_per_second(spec) as f64 / MAX_CONCURRENT_GRANTORS;
+        let window_s = (1_000 + PERMIT_LIFETIME_MS) as f64 / 1_000.0;
+        let rated = spec.bears_per_second * window_s;
+        share.min(rated) as usize
     }
 }
 
-/// What a grantor says to a gateway that asks for a right.
+/// The grantor's reply to a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RightAnswer {
-    /// It may send one request.
+pub enum PermitReply {
+    /// The gateway may send one request.
     Granted,
-    /// It may not.
+    /// The gateway may not send a request.
     Denied {
-        /// In how many ms to ask again at the earliest.
-        next_ms: u32,
+        /// The time after which a permit may be requested again, in ms.
+        retry_after_ms: u32,
     },
 }
--- a/crates/valehold-core/src/fleet/tests/cold.rs
+++ b/crates/valehold-core/src/fleet/tests/cold.rs
@@ -1,4 +1,5 @@
-//! Cold upstreams get no more than they bear, over all gateways.
+//! Tests that all gateways together send a cold upstream no more requests than
+//! its bound allows.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -11,8 +12,8 @@
         Holding, Upstream,
         catalog::ColdSpec,
         cold::{
-            ColdBelief, ColdBook, ColdBound, Grantor, RIGHT_HOLDS_MS,
-            RightAnswer, RightSight, SendRights,
+            ColdBound, ColdEstimate, ColdPermits, PERMIT_LIFETIME_MS,
+            PermitGrantor, PermitReply, PermitState, SendPermits,
         },
     },
     id::{DataCentreId, ServiceName, UpstreamId},
@@ -54,143 +55,163 @@
     gateways.into_iter().map(address).collect()
 }
 
-/// Returns which of some gateways all take for the grantor of `e1`.
+/// Returns the gateway that is the grantor of `e1` when all gateways know the
+/// members `all`.
 fn grantor_of(all: &[SocketAddr]) -> SocketAddr {
-    let mut any = Grantor::new(all[0], at(0));
-    any.hear(all, true, at(0));
+    let mut any = PermitGrantor::new(all[0], at(0));
+    any.update_members(all, true, at(0));
     any.grantor(&id("e1")).unwrap()
 }
 
 #[gtest]
 fn an_upstream_is_cold_for_as_long_as_its_entry_says() {
-    let mut belief = ColdBelief::default();
-    belief.hear(&entry(0, None), 3_000, at(0));
-    expect_false!(belief.is_cold(&id("e1"), at(0)));
-    belief.hear(&entry(2_500, None), 3_000, at(100));
-    expect_true!(belief.is_cold(&id("e1"), at(2_599)));
-    expect_false!(belief.is_cold(&id("e1"), at(2_600)));
-    // Its next entry says so sooner.
-    belief.hear(&entry(0, None), 3_000, at(1_500));
-    expect_false!(belief.is_cold(&id("e1"), at(1_500)));
+    let mut estimate = ColdEstimate::default();
+    estimate.update(&entry(0, None), 3_000, at(0));
+    expect_false!(estimate.is_cold(&id("e1"), at(0)));
+    estimate.update(&entry(2_500, None), 3_000, at(100));
+    expect_true!(estimate.is_cold(&id("e1"), at(2_599)));
+    expect_false!(estimate.is_cold(&id("e1"), at(2_600)));
+    // A later entry reports the upstream as warm earlier than estimated.
+    estimate.update(&entry(0, None), 3_000, at(1_500));
+    expect_false!(estimate.is_cold(&id("e1"), at(1_500)));
 }
 
 #[gtest]
-fn a_start_under_the_same_name_is_cold_and_an_older_entry_is_not_heard() {
-    let mut belief = ColdBelief::default();
-    belief.hear(&entry(0, Some(5)), 3_000, at(0));
-    expect_false!(belief.is_cold(&id("e1"), at(0)));
-    belief.hear(&entry(0, Some(6)), 3_000, at(1_000));
-    expect_true!(belief.is_cold(&id("e1"), at(3_999)));
-    belief.hear(&entry(0, Some(5)), 3_000, at(1_500));
-    expect_true!(belief.is_cold(&id("e1"), at(3_999)));
-    belief.hear(&entry(0, Some(6)), 3_000, at(1_500));
+fn a_restart_under_the_same_name_is_cold_and_older_entries_are_ignored() {
+    let mut estimate = ColdEstimate::default();
+    estimate.update(&entry(0, Some(5)), 3_000, at(0));
+    expect_false!(estimate.is_cold(&id("e1"), at(0)));
+    estimate.update(&entry(0, Some(6)), 3_000, at(1_000));
+    expect_true!(estimate.is_cold(&id("e1"), at(3_999)));
+    estimate.update(&entry(0, Some(5)), 3_000, at(1_500));
+    expect_true!(estimate.is_cold(&id("e1"), at(3_999)));
+    estimate.update(&entry(0, Some(6)), 3_000, at(1_500));
     expect_true!(
-        belief.is_cold(&id("e1"), at(2_900)),
-        "it may be from before"
+        estimate.is_cold(&id("e1"), at(2_900)),
+        "the entry may have been written before the restart"
     );
-    belief.hear(&entry(0, Some(6)), 3_000, at(3_200));
-    expect_false!(belief.is_cold(&id("e1"), at(3_200)));
+    estimate.update(&entry(0, Some(6)), 3_000, at(3_200));
+    expect_false!(estimate.is_cold(&id("e1"), at(3_200)));
 }
 
-/// The end of an evacuation, a broken connection, a silence.
+/// An upstream may have become cold without an entry that says so: after the
+/// end of an evacuation, a broken connection or missing heartbeats.
 #[gtest]
-fn what_may_have_become_cold_is_taken_for_cold() {
-    let mut belief = ColdBelief::default();
-    belief.doubt(&id("e1"), 3_000, 400, at(1_000));
-    expect_that!(belief.left_ms(&id("e1"), at(1_000)), eq(2_600));
-    // An entry on its way since before does not say that it is warm.
-    belief.hear(&entry(0, None), 3_000, at(1_100));
-    expect_true!(belief.is_cold(&id("e1"), at(1_100)));
-    // One that says for how long it is cold is taken at its word.
-    belief.hear(&entry(700, None), 3_000, at(1_200));
-    expect_that!(belief.left_ms(&id("e1"), at(1_200)), eq(700));
-    // What happened too long ago is over.
-    belief.doubt(&id("e2"), 3_000, 3_000, at(1_000));
-    expect_false!(belief.is_cold(&id("e2"), at(1_000)));
+fn an_upstream_that_may_have_become_cold_counts_as_cold() {
+    let mut estimate = ColdEstimate::default();
+    estimate.mark_possibly_cold(&id("e1"), 3_000, 400, at(1_000));
+    expect_that!(estimate.left_ms(&id("e1"), at(1_000)), eq(2_600));
+    // An entry received this soon may have been written before.
+    estimate.update(&entry(0, None), 3_000, at(1_100));
+    expect_true!(estimate.is_cold(&id("e1"), at(1_100)));
+    // A stated cold time replaces the estimate.
+    estimate.update(&entry(700, None), 3_000, at(1_200));
+    expect_that!(estimate.left_ms(&id("e1"), at(1_200)), eq(700));
+    // The cold time after an event 3,000 ms ago has passed.
+    estimate.mark_possibly_cold(&id("e2"), 3_000, 3_000, at(1_000));
+    expect_false!(estimate.is_cold(&id("e2"), at(1_000)));
 }
 
-/// What everybody expects is not told to all at each heartbeat.
+/// A cold upstream changes its entry with every heartbeat. A change that every
+/// gateway expects is not sent to the peers.
 #[gtest]
-fn an_entry_that_only_says_that_less_time_is_left_is_expected() {
-    let mut belief = ColdBelief::default();
+fn an_entry_with_only_less_cold_time_left_is_expected() {
+    let mut estimate = ColdEstimate::default();
     let first = entry(3_000, Some(5));
-    expect_false!(belief.expects(&entry(0, Some(5)), &first, at(0)));
-    belief.hear(&first, 3_000, at(0));
+    expect_false!(estimate.is_expected(&entry(0, Some(5)), &first, at(0)));
+    estimate.update(&first, 3_000, at(0));
     let later = entry(1_800, Some(5));
-    expect_true!(belief.expects(&first, &later, at(1_200)));
-    expect_true!(belief.expects(&first, &later, at(1_000)));
-    // It became cold again, is warm, or something else changed.
+    expect_true!(estimate.is_expected(&first, &later, at(1_200)));
+    expect_true!(estimate.is_expected(&first, &later, at(1_000)));
+    // The upstream became cold again, is warm, or changed otherwise.
     let again = entry(3_000, Some(5));
-    expect_false!(belief.expects(&first, &again, at(1_200)));
-    expect_false!(belief.expects(&first, &entry(700, Some(5)), at(1_200)));
-    expect_false!(belief.expects(&first, &entry(0, Some(5)), at(1_200)));
-    expect_false!(belief.expects(&first, &entry(0, Some(5)), at(2_900)));
-    expect_false!(belief.expects(&first, &entry(1_800, Some(6)), at(1_200)));
+    expect_false!(estimate.is_expected(&first, &again, at(1_200)));
+    expect_false!(estimate.is_expected(
+        &first,
+        &entry(700, Some(5)),
+        at(1_200)
+    ));
+    expect_false!(estimate.is_expected(&first, &entry(0, Some(5)), at(1_200)));
+    expect_false!(estimate.is_expected(&first, &entry(0, Some(5)), at(2_900)));
+    expect_false!(estimate.is_expected(
+        &first,
+        &entry(1_800, Some(6)),
+        at(1_200)
+    ));
     let leaving = Upstream { leaving: true, ..later };
-    expect_false!(belief.expects(&first, &leaving, at(1_200)));
+    expect_false!(estimate.is_expected(&first, &leaving, at(1_200)));
 }
 
 #[gtest]
-fn a_right_is_for_one_request_and_ends_by_the_askers_clock() {
-    let mut rights = SendRights::new(u64::MAX);
-    let first = rights.ask(&id("e1"), at(1_000));
-    let second = rights.ask(&id("e1"), at(1_000));
+fn a_permit_allows_one_request_and_expires_by_the_requesters_clock() {
+    let mut permits = SendPermits::new(u64::MAX);
+    let first = permits.request(&id("e1"), at(1_000));
+    let second = permits.request(&id("e1"), at(1_000));
     expect_that!(first.number, not(eq(second.number)));
-    rights.answered(first.number, RightAnswer::Granted, at(1_010));
-    // The same datagram again.
-    rights.answered(first.number, RightAnswer::Granted, at(1_011));
-    let right = rights.take(&id("e1"), at(1_020)).expect("a right");
-    expect_true!(right.holds(at(999 + RIGHT_HOLDS_MS)));
-    expect_false!(right.holds(at(1_000 + RIGHT_HOLDS_MS)));
-    expect_that!(rights.take(&id("e1"), at(1_020)), none());
-    // One that comes late gives none.
-    let late = at(1_000 + RIGHT_HOLDS_MS);
-    rights.answered(second.number, RightAnswer::Granted, late);
-    expect_that!(rights.take(&id("e1"), late), none());
+    permits.on_reply(first.number, PermitReply::Granted, at(1_010));
+    // A duplicate of the same datagram.
+    permits.on_reply(first.number, PermitReply::Granted, at(1_011));
+    let permit = permits.take(&id("e1"), at(1_020)).expect("a permit");
+    expect_true!(permit.is_valid(at(999 + PERMIT_LIFETIME_MS)));
+    expect_false!(permit.is_valid(at(1_000 + PERMIT_LIFETIME_MS)));
+    expect_that!(permits.take(&id("e1"), at(1_020)), none());
+    // A late reply grants nothing.
+    let late = at(1_000 + PERMIT_LIFETIME_MS);
+    permits.on_reply(second.number, PermitReply::Granted, late);
+    expect_that!(permits.take(&id("e1"), late), none());
 }
 
 #[gtest]
-fn who_gets_no_right_says_when_to_come_back() {
-    let mut book = ColdBook::new(7);
-    expect_that!(book.sight(&id("e1"), false, at(0)), eq(RightSight::Free));
-    book.belief.hear(&entry(600, None), 3_000, at(0));
-    expect_that!(book.sight(&id("e1"), false, at(0)), eq(RightSight::Needed));
-    let ask = book.rights.ask(&id("e1"), at(0));
-    let denied = RightAnswer::Denied { next_ms: 400 };
-    book.rights.answered(ask.number, denied, at(10));
-    let sight = book.sight(&id("e1"), false, at(20));
-    expect_that!(sight, eq(RightSight::None { next_ms: 390 }));
-    // It is warm before there is another right.
-    let ask = book.rights.ask(&id("e1"), at(300));
-    book.rights.answered(ask.number, denied, at(310));
-    let sight = book.sight(&id("e1"), false, at(310));
-    expect_that!(sight, eq(RightSight::None { next_ms: 290 }));
-    book.sweep(|_| true, at(800));
-    expect_that!(book.sight(&id("e1"), false, at(800)), eq(RightSight::Free));
+fn an_unavailable_permit_states_when_to_retry() {
+    let mut cold = ColdPermits::new(7);
+    expect_that!(
+        cold.permit_state(&id("e1"), false, at(0)),
+        eq(PermitState::NotNeeded)
+    );
+    cold.estimate.update(&entry(600, None), 3_000, at(0));
+    expect_that!(
+        cold.permit_state(&id("e1"), false, at(0)),
+        eq(PermitState::Needed)
+    );
+    let request = cold.permits.request(&id("e1"), at(0));
+    let denied = PermitReply::Denied { retry_after_ms: 400 };
+    cold.permits.on_reply(request.number, denied, at(10));
+    let state = cold.permit_state(&id("e1"), false, at(20));
+    expect_that!(state, eq(PermitState::Unavailable { retry_after_ms: 390 }));
+    // The upstream is warm before another permit can be requested.
+    let request = cold.permits.request(&id("e1"), at(300));
+    cold.permits.on_reply(request.number, denied, at(310));
+    let state = cold.permit_state(&id("e1"), false, at(310));
+    expect_that!(state, eq(PermitState::Unavailable { retry_after_ms: 290 }));
+    cold.prune(|_| true, at(800));
+    expect_that!(
+        cold.permit_state(&id("e1"), false, at(800)),
+        eq(PermitState::NotNeeded)
+    );
 }
 
 #[gtest]
-fn rights_leave_room_for_a_second_grantor() {
-    expect_that!(BOUND.most_in_a_second(&SPEC), eq(24));
-    expect_that!(BOUND.rights_in_window(&SPEC), eq(12));
-    // An upstream that survives much more is still not planned with more than
-    // it bears.
+fn permits_leave_room_for_a_second_grantor() {
+    expect_that!(BOUND.max_per_second(&SPEC), eq(24));
+    expect_that!(BOUND.permits_per_window(&SPEC), eq(12));
+    // The permits never exceed the rated load, however much more the upstream
+    // survives.
     let much = ColdBound { overshoot: 9.0, slack: 0.0 };
-    expect_that!(much.rights_in_window(&SPEC), eq(15));
+    expect_that!(much.permits_per_window(&SPEC), eq(15));
     let nothing = ColdBound { overshoot: 0.0, slack: 0.0 };
-    expect_that!(nothing.rights_in_window(&SPEC), eq(0));
+    expect_that!(nothing.permits_per_window(&SPEC), eq(0));
 }
 
 #[gtest]
-fn a_grantor_begins_after_all_have_heard_of_it() {
+fn a_grantor_issues_no_permits_before_all_gateways_know_it() {
     let all = addresses(0..5);
     let own = grantor_of(&all);
-    let mut grantor = Grantor::new(own, at(0));
+    let mut grantor = PermitGrantor::new(own, at(0));
     let mut first = None;
     for now in (0..5_000).step_by(250) {
-        grantor.hear(&all, true, at(now));
-        let answer = grantor.answer(&id("e1"), 12, at(now));
-        if answer == RightAnswer::Granted {
+        grantor.update_members(&all, true, at(now));
+        let reply = grantor.answer(&id("e1"), 12, at(now));
+        if reply == PermitReply::Granted {
             first.get_or_insert(now);
         }
     }
@@ -198,92 +219,93 @@
 }
 
 #[gtest]
-fn who_hears_few_or_stood_still_is_no_grantor() {
+fn a_gateway_in_the_minority_or_after_a_stall_issues_no_permits() {
     let all = addresses(0..5);
     let own = grantor_of(&all);
-    let mut grantor = Grantor::new(own, at(0));
-    let hear = |grantor: &mut Grantor, from: u64, to: u64, most: bool| {
-        for now in (from..=to).step_by(250) {
-            grantor.hear(&all, most, at(now));
-        }
-        grantor.answer(&id("e1"), 12, at(to)) == RightAnswer::Granted
-    };
-    expect_true!(hear(&mut grantor, 0, 2_000, true));
-    expect_false!(hear(&mut grantor, 2_250, 2_250, false));
-    expect_false!(hear(&mut grantor, 2_500, 3_500, true));
-    expect_true!(hear(&mut grantor, 3_750, 4_000, true));
-    // It hears nothing for two seconds, and then as before.
-    let still = grantor.answer(&id("e1"), 12, at(6_000));
-    expect_that!(still, not(eq(RightAnswer::Granted)));
-    expect_false!(hear(&mut grantor, 6_000, 7_000, true));
-    expect_true!(hear(&mut grantor, 7_250, 7_500, true));
+    let mut grantor = PermitGrantor::new(own, at(0));
+    let grants =
+        |grantor: &mut PermitGrantor, from: u64, to: u64, most: bool| {
+            for now in (from..=to).step_by(250) {
+                grantor.update_members(&all, most, at(now));
+            }
+            grantor.answer(&id("e1"), 12, at(to)) == PermitReply::Granted
+        };
+    expect_true!(grants(&mut grantor, 0, 2_000, true));
+    expect_false!(grants(&mut grantor, 2_250, 2_250, false));
+    expect_false!(grants(&mut grantor, 2_500, 3_500, true));
+    expect_true!(grants(&mut grantor, 3_750, 4_000, true));
+    // Member updates stop for two seconds, and then continue as before.
+    let stalled = grantor.answer(&id("e1"), 12, at(6_000));
+    expect_that!(stalled, not(eq(PermitReply::Granted)));
+    expect_false!(grants(&mut grantor, 6_000, 7_000, true));
+    expect_true!(grants(&mut grantor, 7_250, 7_500, true));
 }
 
 #[gtest]
-fn a_denial_says_when_the_next_right_comes() {
+fn a_denial_states_when_the_next_permit_is_available() {
     let all = addresses(0..3);
     let own = grantor_of(&all);
-    let mut grantor = Grantor::new(own, at(0));
+    let mut grantor = PermitGrantor::new(own, at(0));
     for now in (0..=2_000).step_by(500) {
-        grantor.hear(&all, true, at(now));
+        grantor.update_members(&all, true, at(now));
     }
     for _ in 0..3 {
-        let answer = grantor.answer(&id("e1"), 3, at(2_000));
-        expect_that!(answer, eq(RightAnswer::Granted));
+        let reply = grantor.answer(&id("e1"), 3, at(2_000));
+        expect_that!(reply, eq(PermitReply::Granted));
     }
-    let answer = grantor.answer(&id("e1"), 3, at(2_100));
-    let RightAnswer::Denied { next_ms } = answer else {
-        panic!("a fourth right");
+    let reply = grantor.answer(&id("e1"), 3, at(2_100));
+    let PermitReply::Denied { retry_after_ms } = reply else {
+        panic!("a fourth permit was issued");
     };
-    expect_that!(next_ms, eq(1_150));
-    grantor.hear(&all, true, at(3_000));
+    expect_that!(retry_after_ms, eq(1_150));
+    grantor.update_members(&all, true, at(3_000));
     let again = grantor.answer(&id("e1"), 3, at(2_100 + 1_150));
-    expect_that!(again, eq(RightAnswer::Granted));
+    expect_that!(again, eq(PermitReply::Granted));
 }
 
-/// A generator that repeats itself.
-struct Chance(u64);
+/// A pseudo-random number generator with a fixed seed.
+struct Rng(u64);
 
-impl Chance {
-    fn below(&mut self, most: u64) -> u64 {
+impl Rng {
+    fn below(&mut self, bound: u64) -> u64 {
         // xorshift64*; the state is never 0.
         self.0 ^= self.0 >> 12;
         self.0 ^= self.0 << 25;
         self.0 ^= self.0 >> 27;
-        (self.0.wrapping_mul(0x2545_F491_4F6C_DD1D) >> 33) % most
+        (self.0.wrapping_mul(0x2545_F491_4F6C_DD1D) >> 33) % bound
     }
 }
 
-/// What happens to one gateway.
+/// A fault of one gateway.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
-    /// It is killed, and starts again after so many ms.
-    Killed(u64),
-    /// It stands still for so many ms.
-    Frozen(u64),
-    /// It is cut off from all others for so many ms.
-    Cut(u64),
+enum Fault {
+    /// The process is killed and restarts after this many ms.
+    Crash(u64),
+    /// The process does not run for this many ms.
+    Stall(u64),
+    /// The gateway is cut off from all others for this many ms.
+    Partition(u64),
 }
 
-/// A word on its way.
+/// A message in transit.
 #[derive(Debug, Clone, Copy)]
-enum Word {
-    Ask { from: usize, to: usize, number: u64 },
-    Answer { to: usize, number: u64, answer: RightAnswer },
+enum Message {
+    Request { from: usize, to: usize, number: u64 },
+    Reply { to: usize, number: u64, reply: PermitReply },
 }
 
 struct Gateway {
-    grantor: Grantor,
-    rights: SendRights,
-    /// Its clock: from where, and how many millionths too fast.
+    grantor: PermitGrantor,
+    permits: SendPermits,
+    /// The offset of its clock in ms, and its drift in parts per million.
     clock: (u64, i64),
-    /// Until when it does nothing.
-    still_until: u64,
-    /// Until when no word goes out or comes in.
-    cut_until: u64,
-    /// Until when it is not there.
-    dead_until: u64,
-    /// How late it hears of who is there, in ms.
+    /// The process does not run until this time.
+    stalled_until: u64,
+    /// No message is sent or received until this time.
+    partitioned_until: u64,
+    /// The process is down until this time.
+    down_until: u64,
+    /// The delay of its updates of the live members, in ms.
     lag_ms: u64,
 }
 
@@ -296,181 +318,185 @@
     }
 }
 
-/// How late a gateway hears at the most that another came, went, or was cut
-/// off, in ms.
-const MOST_LAG_MS: u64 = 900;
+/// The longest delay after which a gateway learns that another gateway joined,
+/// left or was cut off, in ms.
+const MAX_LAG_MS: u64 = 900;
 
-/// Gateways that all want to send to one cold upstream.
+/// Gateways that all try to send to one cold upstream.
 struct Fleet {
     gateways: Vec<Gateway>,
-    /// Who was there, by the time from which on.
+    /// Which gateways were live, with the time from which this applied.
     history: Vec<(u64, Vec<bool>)>,
-    words: BTreeMap<u64, Vec<Word>>,
+    messages: BTreeMap<u64, Vec<Message>>,
     sends: Vec<u64>,
-    chance: Chance,
-    /// One that goes by views of its own, and takes them for most.
-    stranger: Option<usize>,
-    lost_of_100: u64,
+    rng: Rng,
+    /// A gateway that uses random member lists and takes each for the majority.
+    rogue: Option<usize>,
+    loss_percent: u64,
     ms: u64,
 }
 
 impl Fleet {
-    fn new(count: usize, lost_of_100: u64, seed: u64) -> Self {
-        let mut chance = Chance(seed | 1);
+    fn new(count: usize, loss_percent: u64, seed: u64) -> Self {
+        let mut rng = Rng(seed | 1);
         let gateways = (0..count).map(|number| {
-            let from = chance.below(1_000_000);
-            let drift = i64::try_from(chance.below(1_000)).unwrap() - 500;
+            let from = rng.below(1_000_000);
+            let drift = i64::try_from(rng.below(1_000)).unwrap() - 500;
             Gateway {
-                grantor: Grantor::new(address(number), at(from)),
-                rights: SendRights::new(chance.below(u64::MAX)),
+                grantor: PermitGrantor::new(address(number), at(from)),
+                permits: SendPermits::new(rng.below(u64::MAX)),
                 clock: (from, drift),
-                still_until: 0,
-                cut_until: 0,
-                dead_until: 0,
-                lag_ms: chance.below(MOST_LAG_MS),
+                stalled_until: 0,
+                partitioned_until: 0,
+                down_until: 0,
+                lag_ms: rng.below(MAX_LAG_MS),
             }
         });
         let gateways: Vec<Gateway> = gateways.collect();
         Self {
             history: vec![(0, vec![true; gateways.len()])],
             gateways,
-            words: BTreeMap::new(),
+            messages: BTreeMap::new(),
             sends: Vec::new(),
-            chance,
-            stranger: None,
-            lost_of_100,
+            rng,
+            rogue: None,
+            loss_percent,
             ms: 0,
         }
     }
 
-    fn befall(&mut self, which: usize, fate: Fate) {
-        let gateway = &mut self.gateways[which];
-        match fate {
-            Fate::Killed(ms) => {
-                gateway.dead_until = self.ms + ms;
+    fn inject(&mut self, index: usize, fault: Fault) {
+        let gateway = &mut self.gateways[index];
+        match fault {
+            Fault::Crash(ms) => {
+                gateway.down_until = self.ms + ms;
                 let now = gateway.now(self.ms + ms);
-                gateway.grantor = Grantor::new(address(which), now);
-                let first = self.chance.below(u64::MAX);
-                gateway.rights = SendRights::new(first);
+                gateway.grantor = PermitGrantor::new(address(index), now);
+                let first = self.rng.below(u64::MAX);
+                gateway.permits = SendPermits::new(first);
             }
-            Fate::Frozen(ms) => gateway.still_until = self.ms + ms,
-            Fate::Cut(ms) => gateway.cut_until = self.ms + ms,
+            Fault::Stall(ms) => gateway.stalled_until = self.ms + ms,
+            Fault::Partition(ms) => gateway.partitioned_until = self.ms + ms,
         }
     }
 
-    /// Notes who is there, as the others hear.
-    fn note_presence(&mut self) {
-        let there = self.gateways.iter().map(|one| {
-            // Who is silent for less is not missed.
+    /// Records which gateways are live, as the others observe it.
+    fn record_live(&mut self) {
+        let live = self.gateways.iter().map(|one| {
+            // A shorter silence goes undetected.
             let is_silent = |until: u64| until > self.ms + 400;
-            !is_silent(one.dead_until)
-                && !is_silent(one.still_until)
-                && !is_silent(one.cut_until)
+            !is_silent(one.down_until)
+                && !is_silent(one.stalled_until)
+                && !is_silent(one.partitioned_until)
         });
-        let there: Vec<bool> = there.collect();
-        if self.history.last().is_none_or(|(_, last)| *last != there) {
-            self.history.push((self.ms, there));
+        let live: Vec<bool> = live.collect();
+        if self.history.last().is_none_or(|(_, last)| *last != live) {
+            self.history.push((self.ms, live));
         }
     }
 
-    /// Returns whom a gateway hears, and whether they are most.
-    fn view(&mut self, which: usize) -> (Vec<SocketAddr>, bool) {
+    /// Returns the members that a gateway observes, and whether they are the
+    /// majority.
+    fn view(&mut self, index: usize) -> (Vec<SocketAddr>, bool) {
         let count = self.gateways.len();
-        if self.stranger == Some(which) {
+        if self.rogue == Some(index) {
             let all = (0..count)
-                .filter(|one| *one == which || self.chance.below(2) == 0);
+                .filter(|one| *one == index || self.rng.below(2) == 0);
             return (addresses(all), true);
         }
-        let gateway = &self.gateways[which];
-        if self.ms < gateway.cut_until {
-            return (addresses([which]), count == 1);
+        let gateway = &self.gateways[index];
+        if self.ms < gateway.partitioned_until {
+            return (addresses([index]), count == 1);
         }
         let seen = self.ms.saturating_sub(gateway.lag_ms);
         let known = self.history.iter().rev().find(|(from, _)| *from <= seen);
-        let (_, there) = known.unwrap_or(&self.history[0]);
-        let all = (0..count).filter(|one| *one == which || there[*one]);
+        let (_, live) = known.unwrap_or(&self.history[0]);
+        let all = (0..count).filter(|one| *one == index || live[*one]);
         let all: Vec<usize> = all.collect();
         let are_most = all.len() * 2 > count;
         (addresses(all), are_most)
     }
 
-    fn send(&mut self, word: Word) {
-        if self.chance.below(100) < self.lost_of_100 {
+    fn send(&mut self, message: Message) {
+        if self.rng.below(100) < self.loss_percent {
             return;
         }
-        let copies = 1 + u64::from(self.chance.below(20) == 0);
+        let copies = 1 + u64::from(self.rng.below(20) == 0);
         for _ in 0..copies {
-            let late = match self.chance.below(10) {
+            let late = match self.rng.below(10) {
                 0 => 400,
                 _ => 30,
             };
-            let when = self.ms + 1 + self.chance.below(late);
-            self.words.entry(when).or_default().push(word);
+            let when = self.ms + 1 + self.rng.below(late);
+            self.messages.entry(when).or_default().push(message);
         }
     }
 
-    fn is_awake(&self, which: usize) -> bool {
-        let gateway = &self.gateways[which];
-        self.ms >= gateway.still_until && self.ms >= gateway.dead_until
+    fn is_running(&self, index: usize) -> bool {
+        let gateway = &self.gateways[index];
+        self.ms >= gateway.stalled_until && self.ms >= gateway.down_until
     }
 
-    fn take(&mut self, word: Word) {
-        let which = match word {
-            Word::Ask { to, .. } | Word::Answer { to, .. } => to,
+    fn deliver(&mut self, message: Message) {
+        let index = match message {
+            Message::Request { to, .. } | Message::Reply { to, .. } => to,
         };
-        let gateway = &self.gateways[which];
-        if self.ms < gateway.dead_until || self.ms < gateway.cut_until {
+        let gateway = &self.gateways[index];
+        if self.ms < gateway.down_until || self.ms < gateway.partitioned_until
+        {
             return;
         }
-        if self.ms < gateway.still_until {
-            // It is in its socket until it goes on.
-            let later = gateway.still_until;
-            self.words.entry(later).or_default().push(word);
+        if self.ms < gateway.stalled_until {
+            // The message stays in the socket until the process runs again.
+            let later = gateway.stalled_until;
+            self.messages.entry(later).or_default().push(message);
             return;
         }
         let now = gateway.now(self.ms);
-        let gateway = &mut self.gateways[which];
-        match word {
-            Word::Ask { from, number, .. } => {
-                let most = BOUND.rights_in_window(&SPEC);
-                let answer = gateway.grantor.answer(&id("e1"), most, now);
-                self.send(Word::Answer { to: from, number, answer });
+        let gateway = &mut self.gateways[index];
+        match message {
+            Message::Request { from, number, .. } => {
+                let max = BOUND.permits_per_window(&SPEC);
+                let reply = gateway.grantor.answer(&id("e1"), max, now);
+                self.send(Message::Reply { to: from, number, reply });
             }
-            Word::Answer { number, answer, .. } => {
-                gateway.rights.answered(number, answer, now);
+            Message::Reply { number, reply, .. } => {
+                gateway.permits.on_reply(number, reply, now);
             }
         }
     }
 
-    /// Lets one gateway hear who is there, ask, and send.
-    fn act(&mut self, which: usize) {
-        let now = self.gateways[which].now(self.ms);
+    /// Lets one gateway update its members, use permits and request a permit.
+    fn act(&mut self, index: usize) {
+        let now = self.gateways[index].now(self.ms);
         let every_ms = if self.gateways.len() > 50 { 250 } else { 50 };
         if self.ms.is_multiple_of(every_ms) {
-            let (all, are_most) = self.view(which);
-            self.gateways[which].grantor.hear(&all, are_most, now);
+            let (all, are_most) = self.view(index);
+            self.gateways[index].grantor.update_members(&all, are_most, now);
         }
-        // They are held as long as can be, and used together.
-        let uses = self.chance.below(30) == 0;
+        // Permits are held for as long as possible and used together, which is
+        // the worst case for the bound.
+        let uses = self.rng.below(30) == 0;
         while uses
-            && let Some(right) =
-                self.gateways[which].rights.take(&id("e1"), now)
+            && let Some(permit) =
+                self.gateways[index].permits.take(&id("e1"), now)
         {
-            assert!(right.holds(now));
+            assert!(permit.is_valid(now));
             self.sends.push(self.ms);
         }
-        if self.chance.below(self.gateways.len().max(12) as u64) == 0 {
-            let gateway = &mut self.gateways[which];
-            let ask = gateway.rights.ask(&id("e1"), now);
+        if self.rng.below(self.gateways.len().max(12) as u64) == 0 {
+            let gateway = &mut self.gateways[index];
+            let request = gateway.permits.request(&id("e1"), now);
             let Some(grantor) = gateway.grantor.grantor(&id("e1")) else {
                 return;
             };
             let mut all = 0..self.gateways.len();
             let to = all.find(|one| address(*one) == grantor).unwrap();
-            let is_cut = self.ms < self.gateways[which].cut_until;
-            if !is_cut || to == which {
-                let number = ask.number;
-                self.send(Word::Ask { from: which, to, number });
+            let is_partitioned =
+                self.ms < self.gateways[index].partitioned_until;
+            if !is_partitioned || to == index {
+                let number = request.number;
+                self.send(Message::Request { from: index, to, number });
             }
         }
     }
@@ -478,13 +504,13 @@
     fn run(&mut self, for_ms: u64) {
         let end = self.ms + for_ms;
         while self.ms < end {
-            self.note_presence();
-            for word in self.words.remove(&self.ms).unwrap_or_default() {
-                self.take(word);
+            self.record_live();
+            for message in self.messages.remove(&self.ms).unwrap_or_default() {
+                self.deliver(message);
             }
-            for which in 0..self.gateways.len() {
-                if self.is_awake(which) {
-                    self.act(which);
+            for index in 0..self.gateways.len() {
+                if self.is_running(index) {
+                    self.act(index);
                 }
             }
             self.ms += 1;
@@ -492,7 +518,7 @@
     }
 
     /// Returns the most sends in any closed second.
-    fn most_in_a_second(&self) -> usize {
+    fn max_per_second(&self) -> usize {
         let counts = self.sends.iter().enumerate().map(|(index, from)| {
             let rest = &self.sends[index..];
             rest.iter().take_while(|to| **to - from <= 1_000).count()
@@ -501,99 +527,101 @@
     }
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        (0_u64..3_000).prop_map(Fate::Killed),
-        (50_u64..3_000).prop_map(Fate::Frozen),
-        (50_u64..3_000).prop_map(Fate::Cut),
+        (0_u64..3_000).prop_map(Fault::Crash),
+        (50_u64..3_000).prop_map(Fault::Stall),
+        (50_u64..3_000).prop_map(Fault::Partition),
     ]
 }
 
 #[gtest]
-fn all_that_may_be_given_out_is_used() {
+fn the_available_permits_are_used() {
     let mut fleet = Fleet::new(12, 0, 3);
     fleet.run(2_000);
     fleet.sends.clear();
     fleet.run(10_000);
-    // 12 in 1.25 s; of ten answers one takes longer than most rights hold.
+    // 12 permits in 1.25 s would be 96; one of ten replies takes longer than
+    // most permits are valid.
     expect_that!(fleet.sends.len(), ge(80));
-    expect_that!(fleet.most_in_a_second(), le(12));
+    expect_that!(fleet.max_per_second(), le(12));
 }
 
-/// At 89, 300 and 390 gateways the bound is the same.
+/// The bound is the same with 89, 300 and 390 gateways.
 #[gtest]
-fn the_bound_does_not_grow_with_the_gateways() {
+fn the_bound_does_not_grow_with_the_number_of_gateways() {
     for count in [89, 300, 390] {
         let mut fleet = Fleet::new(count, 5, 11);
         fleet.run(1_500);
-        for which in (0..count).step_by(7) {
-            let fate = match which % 3 {
-                0 => Fate::Killed(700),
-                1 => Fate::Frozen(1_000),
-                _ => Fate::Cut(1_500),
+        for index in (0..count).step_by(7) {
+            let fault = match index % 3 {
+                0 => Fault::Crash(700),
+                1 => Fault::Stall(1_000),
+                _ => Fault::Partition(1_500),
             };
-            fleet.befall(which, fate);
+            fleet.inject(index, fault);
         }
         fleet.run(4_000);
-        expect_that!(fleet.most_in_a_second(), all!(ge(1), le(24)), "{count}");
+        expect_that!(fleet.max_per_second(), all!(ge(1), le(24)), "{count}");
     }
 }
 
 proptest! {
     #![proptest_config(few_cases())]
 
-    /// Gateways come and go, stand still and are cut off; their clocks drift;
-    /// words are lost, late, and come twice.
+    /// Gateways crash, restart, stall and are cut off, and their clocks drift.
+    /// Messages are lost, delayed and duplicated.
     #[test]
-    fn all_gateways_together_stay_in_the_bound(
+    fn all_gateways_together_stay_within_the_bound(
         seed in any::<u64>(),
         count in 1_usize..9,
         lost in 0_u64..40,
-        fates in prop::collection::vec(
-            (100_u64..1_500, any::<prop::sample::Index>(), fate()),
+        faults in prop::collection::vec(
+            (100_u64..1_500, any::<prop::sample::Index>(), fault()),
             0..10,
         ),
     ) {
         let mut fleet = Fleet::new(count, lost, seed);
         fleet.run(1_500);
-        for (after, which, fate) in fates {
-            fleet.befall(which.index(count), fate);
+        for (after, index, fault) in faults {
+            fleet.inject(index.index(count), fault);
             fleet.run(after);
         }
         fleet.run(2_000);
-        let most = fleet.most_in_a_second();
-        prop_assert!(most <= 24, "{most}");
+        let max = fleet.max_per_second();
+        prop_assert!(max <= 24, "{max}");
     }
 
-    /// One gateway hears whatever it hears, and takes it for most.
+    /// One gateway gets random member lists and takes each for the majority, so
+    /// that it acts as a second grantor.
     #[test]
-    fn one_that_takes_itself_for_the_grantor_is_borne(
+    fn a_wrong_second_grantor_stays_within_the_bound(
         seed in any::<u64>(),
         count in 2_usize..9,
-        fates in prop::collection::vec(
-            (100_u64..1_500, any::<prop::sample::Index>(), fate()),
+        faults in prop::collection::vec(
+            (100_u64..1_500, any::<prop::sample::Index>(), fault()),
             0..6,
         ),
     ) {
         let mut fleet = Fleet::new(count, 5, seed);
-        fleet.stranger = Some(0);
+        fleet.rogue = Some(0);
         fleet.run(1_500);
-        for (after, which, fate) in fates {
-            fleet.befall(which.index(count), fate);
+        for (after, index, fault) in faults {
+            fleet.inject(index.index(count), fault);
             fleet.run(after);
         }
         fleet.run(2_000);
-        let most = fleet.most_in_a_second();
-        prop_assert!(most <= 24, "{most}");
+        let max = fleet.max_per_second();
+        prop_assert!(max <= 24, "{max}");
     }
 }
 
 proptest! {
     #![proptest_config(cases())]
 
-    /// Whatever a grantor hears, and whoever asks when.
+    /// A grantor gets any sequence of member lists and permit requests.
     #[test]
-    fn one_grantor_gives_out_no_more_than_its_part(
+    fn a_grantor_issues_no_more_than_its_share(
         steps in prop::collection::vec(
             (0_u64..400, 0_u8..8, any::<bool>(), 1_usize..30),
             1..80,
@@ -601,58 +629,60 @@
     ) {
         let all = addresses(0..3);
         let own = grantor_of(&all);
-        let mut grantor = Grantor::new(own, at(0));
-        let (mut now, mut given) = (0, Vec::new());
-        for (after, members, most, asks) in steps {
+        let mut grantor = PermitGrantor::new(own, at(0));
+        let (mut now, mut issued) = (0, Vec::new());
+        for (after, members, most, requests) in steps {
             now += after;
-            let heard = (0..3).filter(|one| {
+            let live = (0..3).filter(|one| {
                 address(*one) == own || members & (1 << one) != 0
             });
-            grantor.hear(&addresses(heard), most || members > 3, at(now));
-            for _ in 0..asks {
-                let answer = grantor.answer(&id("e1"), 12, at(now));
-                if answer == RightAnswer::Granted {
-                    given.push(now);
+            grantor.update_members(&addresses(live), most || members > 3, at(now));
+            for _ in 0..requests {
+                let reply = grantor.answer(&id("e1"), 12, at(now));
+                if reply == PermitReply::Granted {
+                    issued.push(now);
                 }
             }
         }
-        for (index, from) in given.iter().enumerate() {
-            let until = from + 1_000 + RIGHT_HOLDS_MS;
-            let rest = given[index..].iter();
+        for (index, from) in issued.iter().enumerate() {
+            let until = from + 1_000 + PERMIT_LIFETIME_MS;
+            let rest = issued[index..].iter();
             let count = rest.take_while(|one| **one <= until).count();
             prop_assert!(count <= 12, "{count}");
         }
     }
 }
 
-/// Every order in which three gateways hear that the grantor goes, comes back
-/// and goes again, each at one of three times for each.
+/// The grantor of three gateways leaves, returns and leaves again. The test
+/// covers each combination of three delays after which the gateways learn of
+/// the changes.
 #[gtest]
-fn every_order_of_hearing_of_a_change_stays_in_the_bound() {
-    const LAGS: [u64; 3] = [0, 400, MOST_LAG_MS];
+fn every_order_of_learning_of_a_change_stays_within_the_bound() {
+    const LAGS: [u64; 3] = [0, 400, MAX_LAG_MS];
     let all = addresses(0..3);
     let grantor = grantor_of(&all);
     let grantor = (0..3).find(|one| address(*one) == grantor).unwrap();
-    let fates = [
-        Fate::Killed(500),
-        Fate::Frozen(1_200),
-        Fate::Frozen(2_000),
-        Fate::Cut(1_200),
+    let faults = [
+        Fault::Crash(500),
+        Fault::Stall(1_200),
+        Fault::Stall(2_000),
+        Fault::Partition(1_200),
     ];
     for lags in 0..27 {
-        for (first, second) in (0..16).map(|n| (fates[n / 4], fates[n % 4])) {
+        for (first, second) in (0..16).map(|n| (faults[n / 4], faults[n % 4]))
+        {
             let mut fleet = Fleet::new(3, 0, 5);
-            for (which, gateway) in fleet.gateways.iter_mut().enumerate() {
-                let place = lags / 3_usize.pow(which as u32) % 3;
+            for (index, gateway) in fleet.gateways.iter_mut().enumerate() {
+                let place = lags / 3_usize.pow(index as u32) % 3;
                 gateway.lag_ms = LAGS[place];
             }
             fleet.run(1_500);
-            fleet.befall(grantor, first);
+            fleet.inject(grantor, first);
             fleet.run(1_600);
-            fleet.befall(grantor, second);
+            fleet.inject(grantor, second);
             fleet.run(2_500);
-            let most = fleet.most_in_a_second();
-            expect_that!(most, le(24), "{lags} {first:?} {second:?}");
+            let max = fleet.max_per_second();
+            expect_that!(max, le(24), "{lags} {first:?} {second:?}");
         }
     }
 }
--- a/crates/valehold-core/src/fleet/upstream_limit.rs
+++ b/crates/valehold-core/src/fleet/upstream_limit.rs
@@ -1,10 +1,11 @@
-//! Upstreams in need, which name how many requests a second they take.
+//! The request limits that upstreams state in their answers.
 //!
-//! An upstream that is short of something names in its answers how many
-//! requests it takes from all instances together, for as long as it says so.
-//! Each instance keeps what it heard by upstream; words about one upstream are
-//! numbered, so that all instances come to believe the same, in whatever order
-//! they hear them.
+//! An upstream that is short of a resource states in its answers how many
+//! requests per second it accepts from all instances together. The limit
+//! applies until an answer omits it. Each instance records the limits by
+//! upstream and sends each change to the other instances. The reports about
+//! one upstream are numbered, so that all instances converge on the same
+//! limit in whatever order the reports arrive.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -13,16 +14,18 @@
 use super::identity::UpstreamStart;
 use crate::time::Millis;
 
-/// For how long after an upstream named its limit here another instance's word
-/// that it is over is not believed, in ms: the word may be from before, and
-/// nothing is on its way for longer.
-const OBJECT_MS: u64 = 1_000;
+/// The time after an answer to this instance stated a limit for which another
+/// instance's report that the limit has ended is contradicted, in ms. Such a
+/// report may have been sent before the answer; no report is in transit for
+/// longer than this.
+const CONTRADICTION_MS: u64 = 1_000;
 
-/// The least rate that is kept to, in requests a second: an upstream that
-/// takes nothing at all could never say that its need is over.
-const LEAST_RATE: f64 = 0.05;
+/// The least rate that is applied, in requests per second: an upstream that
+/// gets no request at all could never state that its limit has ended.
+const MIN_RATE: f64 = 0.05;
 
-/// How many requests a second an upstream takes, from all instances together.
+/// The number of requests per second that an upstream accepts from all
+/// instances together.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -31,170 +34,179 @@
 }
 
 impl RequestRate {
-    /// Makes it of requests a second; `None` of what is no rate.
+    /// Creates a rate from requests per second, or returns `None` if the
+    /// number is negative or not finite.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub fn of(requests_per_second: f64) -> Option<Self> {
+    pub fn from_per_second(requests_per_second: f64) -> Option<Self> {
         let is_rate =
             requests_per_second.is_finite() && requests_per_second >= 0.0;
         let thousandths = (requests_per_second * 1_000.0) as u32;
         is_rate.then_some(Self { thousandths })
     }
 
-    /// Returns the requests a second that are to be kept to.
+    /// Returns the rate to apply, in requests per second.
     pub fn per_second(self) -> f64 {
-        (f64::from(self.thousandths) / 1_000.0).max(LEAST_RATE)
+        (f64::from(self.thousandths) / 1_000.0).max(MIN_RATE)
     }
 }
 
-/// What an answer says of the limit of the upstream that gave it.
+/// The limit that an answer states for the upstream that sent the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatedLimit {
-    /// Nothing: it takes what comes.
-    No,
-    /// Something that cannot be read, which changes nothing.
+    /// The answer states no limit.
+    Absent,
+    /// The limit cannot be parsed, and the recorded limit stays.
     Unreadable,
-    /// The limit.
-    Of(RequestRate),
+    /// The answer states this limit.
+    Rate(RequestRate),
 }
 
 impl StatedLimit {
-    /// Puts together what several headers of an answer say, of which `None`
-    /// cannot be read: the least limit counts.
+    /// Combines the limits in several headers of an answer: the least limit
+    /// applies. `None` stands for a header that cannot be parsed.
     pub fn least(stated: impl Iterator<Item = Option<RequestRate>>) -> Self {
-        stated.fold(Self::No, |least, rate| match (rate, least) {
-            (Some(rate), Self::Of(known)) => Self::Of(known.min(rate)),
-            (Some(rate), _) => Self::Of(rate),
-            (None, Self::No) => Self::Unreadable,
+        stated.fold(Self::Absent, |least, rate| match (rate, least) {
+            (Some(rate), Self::Rate(known)) => Self::Rate(known.min(rate)),
+            (Some(rate), _) => Self::Rate(rate),
+            (None, Self::Absent) => Self::Unreadable,
             (None, known) => known,
         })
     }
 }
 
-/// What an instance knows of the limit of one start of an upstream.
+/// The report of an instance about the limit of one start of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitWord {
-    /// The start.
+pub struct LimitReport {
+    /// The start of the upstream.
     pub start: UpstreamStart,
-    /// Words with greater numbers are later.
+    /// The number of the report; a greater number is later.
     pub number: u64,
-    /// The limit; `None` if it is over.
+    /// The limit, or `None` if the limit has ended.
     pub limit: Option<RequestRate>,
 }
 
-impl LimitWord {
-    /// Returns what orders words about one start. Of two that nobody can
-    /// order the one that asks for less load counts.
+impl LimitReport {
+    /// Returns the key that orders the reports about one start. Of two reports
+    /// with the same number, the report with the lower limit wins.
     fn rank(&self) -> (u64, Option<Reverse<RequestRate>>) {
         (self.number, self.limit.map(Reverse))
     }
 }
 
-/// What came of another instance's word.
+/// The result of merging another instance's report.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum HeardLimit {
-    /// It says nothing new.
-    Known,
-    /// It is believed from now on.
-    Believed,
-    /// The upstream has just said otherwise here: the others are to hear this.
-    Contradicted(LimitWord),
+pub enum LimitMerge {
+    /// The report is not newer than the recorded one.
+    Unchanged,
+    /// The report replaces the recorded one.
+    Applied,
+    /// An answer has just stated otherwise to this instance. The contained
+    /// report has to be sent to the other instances.
+    Contradicted(LimitReport),
 }
 
 #[derive(Debug, Clone)]
 struct Known {
-    word: LimitWord,
-    /// When an answer or a word last confirmed it.
-    confirmed: Millis,
-    /// When an answer to this instance last named the limit.
-    named: Option<Millis>,
+    report: LimitReport,
+    /// When an answer or a report last confirmed the recorded report.
+    confirmed_at: Millis,
+    /// When an answer to this instance last stated the limit.
+    stated_at: Option<Millis>,
 }
 
-/// The limits of upstreams, as far as one instance knows.
+/// The limits of upstreams, as recorded by one instance.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamLimits {
     known: BTreeMap<UpstreamStart, Known>,
 }
 
 impl UpstreamLimits {
-    /// Takes in what an answer says to a request that was `sent` then; returns
-    /// the word if it is new.
+    /// Records the limit stated in the answer to a request that was sent at
+    /// `sent`. Returns the report to send if the limit changed.
     ///
-    /// That a limit is over is believed of an answer to a request that was
-    /// sent after the limit was last heard of: others may be from before.
-    pub fn answered(
+    /// The absence of a limit counts only if the request was sent after the
+    /// limit was last confirmed; an earlier request may have been answered
+    /// before the upstream stated the limit.
+    pub fn on_answer(
         &mut self,
         start: &UpstreamStart,
         sent: Millis,
         stated: StatedLimit,
         now: Millis,
-    ) -> Option<LimitWord> {
+    ) -> Option<LimitReport> {
         let known = self.known.get_mut(start);
         let limit = match (stated, known.as_ref()) {
-            (StatedLimit::Of(rate), _) => Some(rate),
-            (StatedLimit::No, Some(known)) if sent > known.confirmed => None,
-            (StatedLimit::No | StatedLimit::Unreadable, _) => return None,
+            (StatedLimit::Rate(rate), _) => Some(rate),
+            (StatedLimit::Absent, Some(known))
+                if sent > known.confirmed_at =>
+            {
+                None
+            }
+            (StatedLimit::Absent | StatedLimit::Unreadable, _) => return None,
         };
-        let named = limit.map(|_| now);
+        let stated_at = limit.map(|_| now);
         if let Some(known) = known
-            && known.word.limit == limit
+            && known.report.limit == limit
         {
-            known.confirmed = now;
-            known.named = named.or(known.named);
+            known.confirmed_at = now;
+            known.stated_at = stated_at.or(known.stated_at);
             return None;
         }
         let number = self.number(start).saturating_add(1);
-        let word = LimitWord { start: start.clone(), number, limit };
-        let known = Known { word: word.clone(), confirmed: now, named };
+        let report = LimitReport { start: start.clone(), number, limit };
+        let known =
+            Known { report: report.clone(), confirmed_at: now, stated_at };
         self.known.insert(start.clone(), known);
-        Some(word)
+        Some(report)
     }
 
-    /// Takes in another instance's word.
-    pub fn hear(&mut self, word: &LimitWord, now: Millis) -> HeardLimit {
-        if let Some(known) = self.known.get_mut(&word.start) {
-            if word.rank() <= known.word.rank() {
-                return HeardLimit::Known;
+    /// Merges another instance's report.
+    pub fn merge(&mut self, report: &LimitReport, now: Millis) -> LimitMerge {
+        if let Some(known) = self.known.get_mut(&report.start) {
+            if report.rank() <= known.report.rank() {
+                return LimitMerge::Unchanged;
             }
-            let has_just_named =
-                known.named.is_some_and(|at| now.since(at) < OBJECT_MS);
-            if word.limit.is_none() && has_just_named {
-                known.word.number = word.number.saturating_add(1);
-                return HeardLimit::Contradicted(known.word.clone());
+            let was_just_stated = known
+                .stated_at
+                .is_some_and(|at| now.since(at) < CONTRADICTION_MS);
+            if report.limit.is_none() && was_just_stated {
+                known.report.number = report.number.saturating_add(1);
+                return LimitMerge::Contradicted(known.report.clone());
             }
         }
-        let word = word.clone();
-        let start = word.start.clone();
-        let known = Known { word, confirmed: now, named: None };
+        let report = report.clone();
+        let start = report.start.clone();
+        let known = Known { report, confirmed_at: now, stated_at: None };
         self.known.insert(start, known);
-        HeardLimit::Believed
+        LimitMerge::Applied
     }
 
-    /// Returns the limit of a start, if it has one.
+    /// Returns the limit of a start, or `None` if the start has no limit.
     pub fn rate(&self, start: &UpstreamStart) -> Option<RequestRate> {
-        self.known.get(start)?.word.limit
+        self.known.get(start)?.report.limit
     }
 
-    /// Returns what is known of a start.
-    pub fn word(&self, start: &UpstreamStart) -> Option<&LimitWord> {
-        self.known.get(start).map(|known| &known.word)
+    /// Returns the recorded report about a start, or `None` if there is none.
+    pub fn report(&self, start: &UpstreamStart) -> Option<&LimitReport> {
+        self.known.get(start).map(|known| &known.report)
     }
 
-    /// Returns all that is known.
-    pub fn words(&self) -> impl Iterator<Item = &LimitWord> {
-        self.known.values().map(|known| &known.word)
+    /// Returns all recorded reports.
+    pub fn reports(&self) -> impl Iterator<Item = &LimitReport> {
+        self.known.values().map(|known| &known.report)
     }
 
-    /// Tells whether nothing was ever heard.
+    /// Reports whether no report is recorded.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Forgets starts that are not `known`.
-    pub fn sweep(&mut self, known: impl Fn(&UpstreamStart) -> bool) {
+    /// Removes the reports about starts for which `known` returns `false`.
+    pub fn prune(&mut self, known: impl Fn(&UpstreamStart) -> bool) {
         self.known.retain(|start, _| known(start));
     }
 
     fn number(&self, start: &UpstreamStart) -> u64 {
-        self.word(start).map_or(0, |word| word.number)
+        self.report(start).map_or(0, |report| report.number)
     }
 }
--- a/crates/valehold-gateway/src/control/cold.rs
+++ b/crates/valehold-gateway/src/control/cold.rs
@@ -7,8 +7,8 @@
     fleet::{
         Listing, Upstream,
         catalog::ColdSpec,
-        cold::{RightAnswer, RightAsk},
-        upstream_limit::LimitWord,
+        cold::{PermitReply, PermitRequest},
+        upstream_limit::LimitReport,
     },
     id::{DataCentreId, UpstreamId},
 };
@@ -31,7 +31,7 @@
         for entry in entries {
             let spec = self.cold_spec(entry);
             let lasts_ms = spec.map_or(0, |spec| spec.lasts_ms);
-            book.belief.hear(entry, lasts_ms, now);
+            book.estimate.update(entry, lasts_ms, now);
         }
     }
 
@@ -63,7 +63,7 @@
         let all = self.upstreams.listing().upstreams.values();
         for upstream in all.filter(|one| one.data_centre == *data_centre) {
             let lasts_ms = self.cold_spec(upstream).map_or(0, |s| s.lasts_ms);
-            book.belief.doubt(&upstream.id, lasts_ms, 0, now);
+            book.estimate.mark_possibly_cold(&upstream.id, lasts_ms, 0, now);
         }
     }
 
@@ -81,8 +81,9 @@
         let book = self.shared.cold();
         changed.retain(|entry| {
             let known = self.upstreams.listed(&entry.id);
-            let is_expected =
-                |known: &Arc<Upstream>| book.belief.expects(known, entry, now);
+            let is_expected = |known: &Arc<Upstream>| {
+                book.estimate.is_expected(known, entry, now)
+            };
             !known.is_some_and(is_expected)
         });
         changed
@@ -97,15 +98,15 @@
     pub(super) fn hear_members(&mut self, now: Millis) {
         let staying = self.roster.staying();
         let are_most = self.limits.hears_most();
-        self.grantor.hear(&staying, are_most, now);
-        self.grantor.sweep(now);
+        self.grantor.update_members(&staying, are_most, now);
+        self.grantor.prune(now);
     }
 
     /// Asks for the right to send to an upstream that is cold or in need.
-    pub(super) fn ask_right(&mut self, ask: RightAsk) {
+    pub(super) fn ask_right(&mut self, ask: PermitRequest) {
         let now = self.now();
         let own = self.shared.settings.peers.heartbeats;
-        let is_cold = self.shared.cold().belief.is_cold(&ask.upstream, now);
+        let is_cold = self.shared.cold().estimate.is_cold(&ask.upstream, now);
         let limit = self.limit_of(&ask.upstream);
         match self.grantor.grantor(&ask.upstream) {
             Some(grantor) if grantor != own => {
@@ -115,7 +116,7 @@
             _ => {
                 let answer = self.right(&ask.upstream, is_cold, now);
                 let mut book = self.shared.cold();
-                book.rights.answered(ask.number, answer, now);
+                book.permits.on_reply(ask.number, answer, now);
             }
         }
     }
@@ -124,9 +125,9 @@
     pub(super) fn answer_right(
         &mut self,
         from: SocketAddr,
-        ask: &RightAsk,
+        ask: &PermitRequest,
         is_cold: bool,
-        known: Option<&LimitWord>,
+        known: Option<&LimitReport>,
         now: Millis,
     ) {
         let answer = self.right(&ask.upstream, is_cold, now);
@@ -143,32 +144,32 @@
         id: &UpstreamId,
         is_cold: bool,
         now: Millis,
-    ) -> RightAnswer {
+    ) -> PermitReply {
         let known = self.upstreams.listing().upstreams.get(id);
         let Some(known) = known.cloned() else {
-            return RightAnswer::Denied { next_ms: NOT_KNOWN_MS };
+            return PermitReply::Denied { retry_after_ms: NOT_KNOWN_MS };
         };
         if is_cold {
             let bound = self.shared.settings.cold.bound();
             let Some(spec) = self.cold_spec(&known) else {
-                return RightAnswer::Denied { next_ms: NOT_KNOWN_MS };
+                return PermitReply::Denied { retry_after_ms: NOT_KNOWN_MS };
             };
-            let most = bound.rights_in_window(spec);
+            let most = bound.permits_per_window(spec);
             let answer = self.grantor.answer(id, most, now);
-            if answer != RightAnswer::Granted {
+            if answer != PermitReply::Granted {
                 return answer;
             }
         }
         let rate = self.shared.upstream_limits().rate(&known.start());
         match rate {
             Some(rate) => self.grantor.answer_limited(id, rate, now),
-            None => RightAnswer::Granted,
+            None => PermitReply::Granted,
         }
     }
 
     /// Returns what this gateway knows of the limit of an upstream.
-    fn limit_of(&self, id: &UpstreamId) -> Option<LimitWord> {
+    fn limit_of(&self, id: &UpstreamId) -> Option<LimitReport> {
         let known = self.upstreams.listing().upstreams.get(id)?;
-        self.shared.upstream_limits().word(&known.start()).cloned()
+        self.shared.upstream_limits().report(&known.start()).cloned()
     }
 }
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -56,7 +56,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EvacuationView, KnownUpstreams, cold::Grantor,
+        Asked, Catalog, EvacuationView, KnownUpstreams, cold::PermitGrantor,
         lapsed::StorePresence,
     },
     id::{DataCentreId, InstanceId},
@@ -147,7 +147,7 @@
     lease: Rc<RefCell<LeaseDuty>>,
     limits: LimitDuty,
     paces: PaceDuty,
-    grantor: Grantor,
+    grantor: PermitGrantor,
     placer: Placer,
     demand: Demand,
     sums: Sums,
@@ -266,7 +266,7 @@
             lease,
             limits: LimitDuty::new(settings.limits, is_alone, now),
             paces: PaceDuty::default(),
-            grantor: Grantor::new(settings.peers.heartbeats, now),
+            grantor: PermitGrantor::new(settings.peers.heartbeats, now),
             placer,
             demand: Demand::default(),
             sums: Sums::default(),
--- a/crates/valehold-gateway/src/control/telling.rs
+++ b/crates/valehold-gateway/src/control/telling.rs
@@ -375,7 +375,7 @@
             }
             Message::Right { number, answer, limit } => {
                 self.hear_limits(limit.as_slice(), now);
-                self.shared.cold().rights.answered(number, answer, now);
+                self.shared.cold().permits.on_reply(number, answer, now);
             }
             Message::Fragment(fragment) => {
                 self.hear_fragment(from, fragment, now);
--- a/crates/valehold-gateway/src/control/upstream_limits.rs
+++ b/crates/valehold-gateway/src/control/upstream_limits.rs
@@ -6,7 +6,7 @@
     Millis,
     fleet::{
         UpstreamStart,
-        upstream_limit::{HeardLimit, LimitWord},
+        upstream_limit::{LimitMerge, LimitReport},
     },
 };
 
@@ -75,18 +75,18 @@
     }
 
     /// Takes in what other gateways know of the limits of upstreams.
-    pub(super) fn hear_limits(&mut self, words: &[LimitWord], now: Millis) {
+    pub(super) fn hear_limits(&mut self, words: &[LimitReport], now: Millis) {
         for word in words {
-            let heard = self.shared.upstream_limits().hear(word, now);
+            let heard = self.shared.upstream_limits().merge(word, now);
             match heard {
-                HeardLimit::Known => {}
-                HeardLimit::Believed => {
+                LimitMerge::Unchanged => {}
+                LimitMerge::Applied => {
                     let source = WordSource::Peer;
                     let is_over = word.limit.is_none();
                     self.shared.metrics.upstream_limit(is_over, source);
                     Event::of_limit(word, source).log();
                 }
-                HeardLimit::Contradicted(own) => {
+                LimitMerge::Contradicted(own) => {
                     self.told_limits.note(&own.start, now);
                 }
             }
@@ -99,9 +99,9 @@
         if due.is_empty() {
             return;
         }
-        let words: Vec<LimitWord> = {
+        let words: Vec<LimitReport> = {
             let limits = self.shared.upstream_limits();
-            due.iter().filter_map(|one| limits.word(one).cloned()).collect()
+            due.iter().filter_map(|one| limits.report(one).cloned()).collect()
         };
         self.send_all(&Message::UpstreamLimits(words));
     }
--- a/crates/valehold-gateway/src/events/mod.rs
+++ b/crates/valehold-gateway/src/events/mod.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 use valehold_core::{
-    fleet::{replicas::LoadSource, upstream_limit::LimitWord},
+    fleet::{replicas::LoadSource, upstream_limit::LimitReport},
     id::{
         DataCentreId, InstanceId, RegionId, ServiceName, UpstreamId,
         WorkspaceId,
@@ -377,7 +377,7 @@
 
 impl Event {
     /// Returns the event that an upstream's limit changed.
-    pub fn of_limit(word: &LimitWord, source: WordSource) -> Self {
+    pub fn of_limit(word: &LimitReport, source: WordSource) -> Self {
         let upstream = word.start.id.clone();
         match word.limit {
             Some(rate) => {
--- a/crates/valehold-gateway/src/peers/message.rs
+++ b/crates/valehold-gateway/src/peers/message.rs
@@ -13,10 +13,10 @@
     fleet::{
         Asked, Catalog, EngineHolding, Evacuations, ListingDelta, RegionBound,
         UpstreamStart, Variant,
-        cold::{RightAnswer, RightAsk},
+        cold::{PermitReply, PermitRequest},
         crashes::CrashWords,
         paces::{PaceNews, PaceObservation},
-        upstream_limit::LimitWord,
+        upstream_limit::LimitReport,
         usage::{Rulings, UsageTotal},
     },
     id::{DataCentreId, InstanceId, UpstreamTag},
@@ -458,7 +458,7 @@
     /// From who had such an answer: upstreams that say that they leave.
     Leaving(Vec<UpstreamStart>),
     /// From who had such an answer: how many requests upstreams in need take.
-    UpstreamLimits(Vec<LimitWord>),
+    UpstreamLimits(Vec<LimitReport>),
     /// A fragment of a message that is larger than a datagram.
     Fragment(Fragment),
     /// To hubs: a datagram that they pass on to their groups.
@@ -467,20 +467,20 @@
     /// be sent to it.
     AskRight {
         /// The wish.
-        ask: RightAsk,
+        ask: PermitRequest,
         /// Whether the upstream is cold.
         is_cold: bool,
         /// What is known of its limit.
-        limit: Option<LimitWord>,
+        limit: Option<LimitReport>,
     },
     /// From the grantor: its answer to the wish with a number.
     Right {
         /// The wish's number.
         number: u64,
         /// The answer.
-        answer: RightAnswer,
+        answer: PermitReply,
         /// What the grantor knows of the upstream's limit, if that is later.
-        limit: Option<LimitWord>,
+        limit: Option<LimitReport>,
     },
 }
 
--- a/crates/valehold-gateway/src/peers/state.rs
+++ b/crates/valehold-gateway/src/peers/state.rs
@@ -22,7 +22,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 use valehold_core::fleet::{
-    Catalog, Evacuations, Listing, ListingDelta, upstream_limit::LimitWord,
+    Catalog, Evacuations, Listing, ListingDelta, upstream_limit::LimitReport,
 };
 use valehold_ports::{
     PortError,
@@ -110,7 +110,7 @@
     /// few.
     pub evacuations: Option<Evacuations>,
     /// How many requests upstreams in need take, whatever the reader has.
-    pub limits: Vec<LimitWord>,
+    pub limits: Vec<LimitReport>,
 }
 
 impl PeerState {
@@ -206,7 +206,7 @@
     catalog: Option<Arc<Catalog>>,
     listing: Arc<Listing>,
     evacuations: Option<Evacuations>,
-    limits: Vec<LimitWord>,
+    limits: Vec<LimitReport>,
     bytes: Bytes,
 }
 
@@ -284,8 +284,8 @@
         Ok(bytes)
     }
 
-    fn limits(&self) -> Vec<LimitWord> {
-        self.shared.upstream_limits().words().cloned().collect()
+    fn limits(&self) -> Vec<LimitReport> {
+        self.shared.upstream_limits().reports().cloned().collect()
     }
 
     /// Returns the upstreams without those that lapsed: a peer could not tell
--- a/crates/valehold-gateway/src/shared.rs
+++ b/crates/valehold-gateway/src/shared.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, watch};
 use valehold_core::fleet::{
     Asked, UpstreamStart,
-    cold::{ColdBook, RightAsk},
+    cold::{ColdPermits, PermitRequest},
     crashes::CrashBook,
     paces::{PaceObservation, Paces},
     rest::Rests,
@@ -60,7 +60,7 @@
     /// Variants that no engine holds.
     pub variants: mpsc::Receiver<Asked>,
     /// Rights to send to cold upstreams.
-    pub rights: mpsc::Receiver<RightAsk>,
+    pub rights: mpsc::Receiver<PermitRequest>,
     /// Upstreams that said that they leave.
     pub leaving: mpsc::Receiver<UpstreamStart>,
     /// Upstreams whose limit changed.
@@ -91,13 +91,13 @@
     work: Mutex<BTreeMap<Asked, Work>>,
     running: Mutex<BTreeMap<Asked, u32>>,
     usage: Mutex<UsageMeter>,
-    cold: Mutex<ColdBook>,
+    cold: Mutex<ColdPermits>,
     rests: Mutex<Rests>,
     upstream_limits: Mutex<UpstreamLimits>,
     crashes: Mutex<CrashBook>,
     crash_changes: watch::Sender<u64>,
     wishes: mpsc::Sender<Asked>,
-    right_asks: mpsc::Sender<RightAsk>,
+    right_asks: mpsc::Sender<PermitRequest>,
     leaving_words: mpsc::Sender<UpstreamStart>,
     limit_words: mpsc::Sender<UpstreamStart>,
     life: watch::Sender<Life>,
@@ -130,7 +130,7 @@
             work: Mutex::default(),
             running: Mutex::default(),
             usage: Mutex::new(UsageMeter::new(settings.limits)),
-            cold: Mutex::new(ColdBook::new(rand::random())),
+            cold: Mutex::new(ColdPermits::new(rand::random())),
             rests: Mutex::default(),
             upstream_limits: Mutex::default(),
             crashes: Mutex::new(CrashBook::new(settings.crashes.keep_ms())),
@@ -156,7 +156,7 @@
     /// need.
     ///
     /// A wish that finds no room is lost; who waits goes elsewhere soon.
-    pub fn ask_right(&self, ask: RightAsk) {
+    pub fn ask_right(&self, ask: PermitRequest) {
         let _ = self.right_asks.try_send(ask);
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// What this gateway believes of cold upstreams, and its rights.
-    pub fn cold(&self) -> MutexGuard<'_, ColdBook> {
+    pub fn cold(&self) -> MutexGuard<'_, ColdPermits> {
         // Each entry stands for itself: any that a panic left is valid.
         self.cold.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -10,7 +10,7 @@
 
 use valehold_core::{
     fleet::{
-        RegionBound, Upstream, Variant, cold::RightSight, rest::RestSight,
+        RegionBound, Upstream, Variant, cold::PermitState, rest::RestSight,
         upstream_limit::RequestRate,
     },
     id::UpstreamId,
@@ -190,8 +190,8 @@
         return Some(PassedOverFor::Resting);
     }
     let is_limited = rights::is_limited(app, one);
-    let sight = app.shared.cold().sight(&one.id, is_limited, now);
-    let has_none = matches!(sight, RightSight::None { .. });
+    let sight = app.shared.cold().permit_state(&one.id, is_limited, now);
+    let has_none = matches!(sight, PermitState::Unavailable { .. });
     (is_limited && has_none).then_some(PassedOverFor::Limited)
 }
 
@@ -259,21 +259,24 @@
     for upstream in untried {
         let limit = limits.rate(&upstream.start());
         let limit = limit.map(RequestRate::per_second);
-        let cold = cold.filter(|_| book.belief.is_cold(&upstream.id, now));
+        let cold = cold.filter(|_| book.estimate.is_cold(&upstream.id, now));
         let bears = cold.map(|cold| cold.bears_per_second);
         let per_second = [limit, bears].into_iter().flatten().reduce(f64::min);
-        let no_choice = match book.sight(&upstream.id, limit.is_some(), now) {
-            RightSight::Free | RightSight::Needed => {
-                able.push(Able { upstream, per_second });
-                continue;
-            }
-            RightSight::None { next_ms } if limit.is_some() => {
-                (next_ms, NoChoice::AllLimited { next_ms })
-            }
-            RightSight::None { next_ms } => {
-                (next_ms, NoChoice::AllCold { next_ms })
-            }
-        };
+        let no_choice =
+            match book.permit_state(&upstream.id, limit.is_some(), now) {
+                PermitState::NotNeeded | PermitState::Needed => {
+                    able.push(Able { upstream, per_second });
+                    continue;
+                }
+                PermitState::Unavailable { retry_after_ms: next_ms }
+                    if limit.is_some() =>
+                {
+                    (next_ms, NoChoice::AllLimited { next_ms })
+                }
+                PermitState::Unavailable { retry_after_ms: next_ms } => {
+                    (next_ms, NoChoice::AllCold { next_ms })
+                }
+            };
         if soonest.is_none_or(|(next_ms, _)| no_choice.0 < next_ms) {
             soonest = Some(no_choice);
         }
--- a/crates/valehold-gateway/src/traffic/choose/mod.rs
+++ b/crates/valehold-gateway/src/traffic/choose/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 use valehold_core::{
-    fleet::{Upstream, UpstreamStart, cold::SendRight},
+    fleet::{Upstream, UpstreamStart, cold::SendPermit},
     id::UpstreamId,
 };
 
@@ -110,7 +110,7 @@
     app: &App,
     job: &Job,
     tried: &[UpstreamId],
-) -> Result<(Chosen, Option<SendRight>), NoChoice> {
+) -> Result<(Chosen, Option<SendPermit>), NoChoice> {
     loop {
         let chosen = choose(app, job, tried)?;
         if !chosen.needs_right {
--- a/crates/valehold-gateway/src/traffic/exchange/beginning.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/beginning.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
-use valehold_core::fleet::{Upstream, cold::SendRight, event::EventOrder};
+use valehold_core::fleet::{Upstream, cold::SendPermit, event::EventOrder};
 
 use super::{
     super::{
@@ -23,7 +23,7 @@
     app: &App,
     job: &Job,
     chosen: &Chosen,
-    right: Option<SendRight>,
+    right: Option<SendPermit>,
     order: &mut EventOrder,
 ) -> Result<Passable, SendFailure> {
     let upstream = &chosen.upstream;
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -17,7 +17,7 @@
 use valehold_core::{
     Millis, Verdict,
     fleet::{
-        Repetition, Upstream, UpstreamStart, cold::SendRight,
+        Repetition, Upstream, UpstreamStart, cold::SendPermit,
         event::EventOrder,
     },
     id::UpstreamId,
@@ -139,7 +139,7 @@
     async fn attempt(
         &mut self,
         chosen: &Chosen,
-        right: Option<SendRight>,
+        right: Option<SendPermit>,
     ) -> Result<Passable, SendFailure> {
         let app = self.app.clone();
         if self.sends == 0 {
--- a/crates/valehold-gateway/src/traffic/exchange/waiting.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/waiting.rs
@@ -4,7 +4,7 @@
 
 use valehold_core::{
     Millis,
-    fleet::{Asked, Variant, cold::SendRight},
+    fleet::{Asked, Variant, cold::SendPermit},
     reason::RefusalReason,
 };
 
@@ -69,7 +69,7 @@
     /// Chooses an upstream; waits a little for a model that is not held.
     pub(super) async fn choose_or_wait(
         &mut self,
-    ) -> Result<(Chosen, Option<SendRight>), Refusal> {
+    ) -> Result<(Chosen, Option<SendPermit>), Refusal> {
         let objective = Duration::from_millis(self.job.route.begin_within_ms);
         let wait = Millis::from(objective.mul_f64(WAIT_PART)).get();
         let until = (self.app.now() + wait).min(self.job.deadline);
--- a/crates/valehold-gateway/src/traffic/rights.rs
+++ b/crates/valehold-gateway/src/traffic/rights.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 use valehold_core::{
-    fleet::{Upstream, cold::SendRight},
+    fleet::{Upstream, cold::SendPermit},
     id::UpstreamId,
 };
 
@@ -23,28 +23,28 @@
 pub(super) async fn right_for(
     app: &App,
     upstream: &UpstreamId,
-) -> Option<SendRight> {
+) -> Option<SendPermit> {
     let until = Instant::now() + PATIENCE;
     if let Some(right) = take(app, upstream) {
         return Some(right);
     }
-    let ask = app.shared.cold().rights.ask(upstream, app.now());
+    let ask = app.shared.cold().permits.request(upstream, app.now());
     app.shared.ask_right(ask);
     while Instant::now() < until {
         tokio::time::sleep(LOOK_AGAIN).await;
         if let Some(right) = take(app, upstream) {
             return Some(right);
         }
-        if app.shared.cold().rights.denied_ms(upstream, app.now()) > 0 {
+        if app.shared.cold().permits.denied_ms(upstream, app.now()) > 0 {
             return None;
         }
     }
-    app.shared.cold().rights.unanswered(upstream, app.now());
+    app.shared.cold().permits.on_timeout(upstream, app.now());
     None
 }
 
-fn take(app: &App, upstream: &UpstreamId) -> Option<SendRight> {
-    app.shared.cold().rights.take(upstream, app.now())
+fn take(app: &App, upstream: &UpstreamId) -> Option<SendPermit> {
+    app.shared.cold().permits.take(upstream, app.now())
 }
 
 /// Tells whether a request may be sent to an upstream at this moment: it is
@@ -53,14 +53,14 @@
     app: &App,
     job: &Job,
     upstream: &Upstream,
-    right: Option<SendRight>,
+    right: Option<SendPermit>,
 ) -> bool {
     let now = app.now();
-    if right.is_some_and(|right| right.holds(now)) {
+    if right.is_some_and(|right| right.is_valid(now)) {
         return true;
     }
     let is_cold = job.cold_spec().is_some()
-        && app.shared.cold().belief.is_cold(&upstream.id, now);
+        && app.shared.cold().estimate.is_cold(&upstream.id, now);
     !is_cold && !is_limited(app, upstream)
 }
 
@@ -78,6 +78,6 @@
     if upstream.birth.is_some() {
         let now = app.now();
         let mut book = app.shared.cold();
-        book.belief.doubt(&upstream.id, spec.lasts_ms, 0, now);
+        book.estimate.mark_possibly_cold(&upstream.id, spec.lasts_ms, 0, now);
     }
 }
--- a/crates/valehold-gateway/src/traffic/send.rs
+++ b/crates/valehold-gateway/src/traffic/send.rs
@@ -11,7 +11,7 @@
 use hyper::{body::Incoming, client::conn::http1::SendRequest};
 use valehold_core::{
     Millis, Verdict,
-    fleet::{Upstream, cold::SendRight, turned_away::TurnedAway},
+    fleet::{Upstream, cold::SendPermit, turned_away::TurnedAway},
     reason::RetryReason,
 };
 use valehold_ports::port::fleet::Sending;
@@ -138,7 +138,7 @@
     app: &App,
     job: &Job,
     upstream: &Upstream,
-    right: Option<SendRight>,
+    right: Option<SendPermit>,
     after_event: Option<u64>,
 ) -> Result<BegunAnswer, SendFailure> {
     let clock = &app.shared.clock;
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -181,9 +181,9 @@
         self.turned_away.borrow_mut().sweep(known, now);
         self.slot_times.borrow_mut().sweep(now);
         let is_listed = |id: &UpstreamId| listing.upstreams.contains_key(id);
-        self.shared.cold().sweep(is_listed, now);
+        self.shared.cold().prune(is_listed, now);
         self.shared.rests().sweep(known, now);
-        self.shared.upstream_limits().sweep(known);
+        self.shared.upstream_limits().prune(known);
         // Who leaves can end sooner without connections that rest.
         self.pool.sweep(|start| {
             listing.of_start(start).is_some_and(|one| !one.leaving)
--- a/crates/valehold-gateway/src/traffic/words.rs
+++ b/crates/valehold-gateway/src/traffic/words.rs
@@ -58,7 +58,7 @@
 }
 
 fn note_limit(app: &App, start: &UpstreamStart, words: Words) {
-    let word = app.shared.upstream_limits().answered(
+    let word = app.shared.upstream_limits().on_answer(
         start,
         words.sent,
         words.limit,
