--- a/crates/valehold-core/src/fleet/evacuation.rs
+++ b/crates/valehold-core/src/fleet/evacuation.rs
@@ -1,14 +1,16 @@
-//! Data centres that operators have ordered to be emptied.
+//! Evacuation orders: the data centres that operators have ordered to be
+//! evacuated.
 //!
-//! An order stands until it is taken back. While it stands, upstreams of the
-//! data centre get nothing new; what they answer already ends whole. Like the
-//! configuration, the orders have a version of the platform's store, and of
-//! two sets the one with the greater version holds.
+//! An order applies until operators cancel it. While the order applies, the
+//! upstreams of the data centre get no new requests; answers in progress are
+//! completed. Like the configuration, the set of orders carries a version of
+//! the platform's store, and of two sets the one with the greater version
+//! applies.
 //!
-//! A set of version V is what stood when the store was at V. A whole read
-//! has the store's version at the read, a change that of its row: so a set
-//! that another gateway read later replaces one that was put together from
-//! changes, and the other way round.
+//! A set with version V contains the orders that applied when the store was at
+//! V. A full read has the store's version at the time of the read, a change has
+//! the version of its row. A set that another gateway read later therefore
+//! replaces a set that was built from changes, and the other way round.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,193 +22,204 @@
     id::{DataCentreId, RegionId, ServiceName},
 };
 
-/// For how long it is remembered when a data centre was taken back, in ms:
-/// longer than any upstream is cold after a start.
-const REMEMBERED_MS: u64 = 600_000;
+/// The time for which the cancellation of an order is remembered, in ms: longer
+/// than any upstream is cold after a start.
+const CANCELLED_RETENTION_MS: u64 = 600_000;
 
-/// For how long an order stands that the store does not have any more since it
-/// came back from a copy, in ms: operators write within seconds again what was
-/// lost.
-const HELD_MS: u64 = 10_000;
+/// The time for which an order is held that is missing after the store was
+/// restored from a copy, in ms: operators write lost orders again within
+/// seconds.
+const HOLD_MS: u64 = 10_000;
 
-/// The data centres that are to be empty, as of one version of the platform's
-/// store.
+/// The data centres that are ordered to be evacuated, as of one version of the
+/// platform's store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// The version; a greater one is newer.
+    /// The store's version; a greater version is newer.
     pub version: u64,
-    /// The data centres.
+    /// The data centres to evacuate.
     pub data_centres: BTreeSet<DataCentreId>,
 }
 
-/// An order to empty a data centre, or its end.
+/// The start or the cancellation of an order to evacuate a data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationChange {
     /// The data centre.
     pub data_centre: DataCentreId,
     /// The store's version of the change.
     pub version: u64,
-    /// Whether it is to be empty; otherwise the order was taken back.
+    /// Whether the data centre is to be evacuated; if not, the order was
+    /// cancelled.
     pub is_ordered: bool,
 }
 
-/// What the platform's store says of orders.
+/// An update of the orders from the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum EvacuationNews {
-    /// All that stand.
-    Whole(Evacuations),
-    /// What changed since an earlier version, the newest change of each data
-    /// centre.
+pub enum EvacuationUpdate {
+    /// All orders that apply.
+    Full(Evacuations),
+    /// The newest change of each data centre since an earlier version.
     Changes(Vec<EvacuationChange>),
 }
 
 impl Evacuations {
-    /// Tells whether a data centre is to be empty.
+    /// Reports whether a data centre is ordered to be evacuated.
     pub fn is_ordered(&self, data_centre: &DataCentreId) -> bool {
         self.data_centres.contains(data_centre)
     }
 
-    /// Returns the orders after some changes, of which those that are older
-    /// than these orders are in them already.
+    /// Returns the orders after some changes.
+    ///
+    /// A change that is not newer than these orders is already part of them,
+    /// and is ignored.
     #[must_use]
-    pub fn after(
+    pub fn with_changes(
         &self,
         changes: impl IntoIterator<Item = EvacuationChange>,
     ) -> Self {
-        let mut after = self.clone();
+        let mut updated = self.clone();
         for change in changes {
             let EvacuationChange { data_centre, version, is_ordered } = change;
             if version <= self.version {
                 continue;
             }
-            after.version = after.version.max(version);
+            updated.version = updated.version.max(version);
             match is_ordered {
-                true => after.data_centres.insert(data_centre),
-                false => after.data_centres.remove(&data_centre),
+                true => updated.data_centres.insert(data_centre),
+                false => updated.data_centres.remove(&data_centre),
             };
         }
-        after
+        updated
     }
 }
 
-/// What newer orders changed.
+/// The difference that newer orders make.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct EvacuationsChanged {
-    /// Data centres that are to be empty now.
+pub struct EvacuationChanges {
+    /// Data centres that are newly ordered to be evacuated.
     pub ordered: BTreeSet<DataCentreId>,
-    /// Data centres of which the order was taken back.
-    pub taken_back: BTreeSet<DataCentreId>,
+    /// Data centres whose order was cancelled.
+    pub cancelled: BTreeSet<DataCentreId>,
 }
 
-impl EvacuationsChanged {
-    /// Tells whether anything changed.
-    pub fn is_any(&self) -> bool {
-        !self.ordered.is_empty() || !self.taken_back.is_empty()
+impl EvacuationChanges {
+    /// Reports whether any order started or was cancelled.
+    pub fn has_any(&self) -> bool {
+        !self.ordered.is_empty() || !self.cancelled.is_empty()
     }
 }
 
-/// What one gateway knows of orders, and since when.
+/// The orders known to one gateway, with the times at which they take effect
+/// by the gateway's own clock.
 ///
-/// Times are those of its own clock. Until it has heard of any set, also of
-/// one without an order, every data centre counts as empty: a gateway that
-/// has just started sends nothing where nothing may be sent.
+/// Until the gateway receives a first set of orders, which may be an empty set,
+/// every data centre counts as evacuated. Otherwise a gateway that has just
+/// started could send requests to an evacuated data centre.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct EvacuationView {
+pub struct EvacuationState {
     orders: Option<Evacuations>,
     in_force_from: BTreeMap<DataCentreId, Millis>,
-    taken_back: BTreeMap<DataCentreId, Millis>,
-    /// Data centres that are to be empty although the store, since it came back
-    /// from a copy, does not say so, and until when.
+    cancelled: BTreeMap<DataCentreId, Millis>,
+    /// Data centres whose order is missing since the store was restored from a
+    /// copy, each with the time until which the order is held.
     held: BTreeMap<DataCentreId, Millis>,
 }
 
-impl EvacuationView {
-    /// Returns the orders, if any set was heard of yet.
+impl EvacuationState {
+    /// Returns the orders, or `None` if no set was received yet.
     pub fn orders(&self) -> Option<&Evacuations> {
         self.orders.as_ref()
     }
 
-    /// Tells whether the orders are known.
+    /// Reports whether a set of orders was received.
     pub fn is_known(&self) -> bool {
         self.orders.is_some()
     }
 
-    /// Tells whether a data centre is to be empty: its upstreams get a
-    /// request only where no other one could take it.
-    pub fn is_emptying(&self, data_centre: &DataCentreId) -> bool {
+    /// Reports whether a data centre is being evacuated or is evacuated: while
+    /// it is being evacuated, its upstreams get only requests that no other
+    /// upstream can serve.
+    pub fn is_evacuating(&self, data_centre: &DataCentreId) -> bool {
         let orders = self.orders.as_ref();
         orders.is_none_or(|orders| orders.is_ordered(data_centre))
             || self.held.contains_key(data_centre)
     }
 
-    /// Tells whether a data centre's upstreams get nothing any more.
-    pub fn is_empty(&self, data_centre: &DataCentreId, now: Millis) -> bool {
+    /// Reports whether the order of a data centre is in force, so that the
+    /// upstreams of the data centre get no requests.
+    pub fn is_evacuated(
+        &self,
+        data_centre: &DataCentreId,
+        now: Millis,
+    ) -> bool {
         let from = self.in_force_from.get(data_centre);
-        self.is_emptying(data_centre) && from.is_none_or(|from| now >= *from)
+        self.is_evacuating(data_centre) && from.is_none_or(|from| now >= *from)
     }
 
-    /// Returns the data centres whose upstreams get nothing any more.
+    /// Returns the data centres whose order is in force.
     pub fn in_force(&self, now: Millis) -> BTreeSet<DataCentreId> {
         let ordered = self.ordered();
-        ordered.filter(|one| self.is_empty(one, now)).cloned().collect()
+        ordered.filter(|one| self.is_evacuated(one, now)).cloned().collect()
     }
 
-    /// Tells whether any data centre is to be empty, or none is known.
-    pub fn is_any(&self) -> bool {
+    /// Reports whether any data centre is ordered to be evacuated, or no set of
+    /// orders was received yet.
+    pub fn any_evacuating(&self) -> bool {
         let orders = self.orders.as_ref();
         orders.is_none_or(|orders| !orders.data_centres.is_empty())
             || !self.held.is_empty()
     }
 
-    /// Returns in how long the order of a data centre comes into force, in
-    /// ms; 0 if it is, or if there is none.
+    /// Returns the time until the order of a data centre comes into force, in
+    /// ms, or 0 if the order is in force or there is none.
     pub fn left_ms(&self, data_centre: &DataCentreId, now: Millis) -> u64 {
         let from = self.in_force_from.get(data_centre);
         from.map_or(0, |from| from.since(now))
     }
 
-    /// Returns in how long all orders are in force, in ms.
-    pub fn longest_left_ms(&self, now: Millis) -> u64 {
+    /// Returns the time until all orders are in force, in ms.
+    pub fn max_left_ms(&self, now: Millis) -> u64 {
         let left = self.ordered().map(|one| self.left_ms(one, now));
         left.max().unwrap_or(0)
     }
 
-    /// Returns the data centres of which an order is known.
+    /// Returns the data centres that have an order, including a held one.
     pub fn ordered(&self) -> impl Iterator<Item = &DataCentreId> {
         let orders = self.orders.iter();
         let ordered = orders.flat_map(|orders| &orders.data_centres);
         ordered.chain(self.held.keys())
     }
 
-    /// Returns how long ago the order of a data centre was taken back, in ms,
-    /// if it was: its upstreams may have turned cold shortly before.
-    pub fn taken_back_ms_ago(
+    /// Returns the time since the order of a data centre was cancelled, in ms,
+    /// or `None` if no recent cancellation is known. The upstreams of the data
+    /// centre may have become cold shortly before the cancellation.
+    pub fn cancelled_ms_ago(
         &self,
         data_centre: &DataCentreId,
         now: Millis,
     ) -> Option<u64> {
-        let at = self.taken_back.get(data_centre)?;
+        let at = self.cancelled.get(data_centre)?;
         Some(now.since(*at))
     }
 
-    /// Takes in a set of orders; returns what it changed, `None` if it is no
-    /// newer than what is known.
+    /// Replaces the orders by a newer set. Returns the difference, or `None` if
+    /// the set is not newer than the known one.
     ///
-    /// Orders come into force after `within_ms`. Those in the first set that
-    /// is heard of, however, do at once, as they may have stood for long. One
-    /// that is missing since the store came back from a copy stands for a
-    /// while yet.
-    pub fn hear(
+    /// Orders come into force after `within_ms`. The orders of the first
+    /// received set are in force at once, as they may have applied for any
+    /// time. An order that is missing after the store was restored from a copy
+    /// is held for [`HOLD_MS`].
+    pub fn update(
         &mut self,
         orders: Evacuations,
         within_ms: u64,
         now: Millis,
-    ) -> Option<EvacuationsChanged> {
+    ) -> Option<EvacuationChanges> {
         let Some(known) = self.orders.take() else {
             let ordered = orders.data_centres.clone();
             self.orders = Some(orders);
-            let taken_back = BTreeSet::new();
-            return Some(EvacuationsChanged { ordered, taken_back });
+            let cancelled = BTreeSet::new();
+            return Some(EvacuationChanges { ordered, cancelled });
         };
         if orders.version <= known.version {
             self.orders = Some(known);
@@ -216,61 +229,66 @@
             one.data_centres.difference(&other.data_centres).cloned().collect()
         };
         let mut ordered: BTreeSet<DataCentreId> = beyond(&orders, &known);
-        let mut taken_back: BTreeSet<DataCentreId> = beyond(&known, &orders);
+        let mut cancelled: BTreeSet<DataCentreId> = beyond(&known, &orders);
         ordered.retain(|one| !self.held.contains_key(one));
         self.held.retain(|one, _| !orders.is_ordered(one));
         if StoreVersion::is_later_era(orders.version, known.version) {
-            let until = now + HELD_MS;
-            let held = std::mem::take(&mut taken_back);
+            let until = now + HOLD_MS;
+            let held = std::mem::take(&mut cancelled);
             self.held.extend(held.into_iter().map(|one| (one, until)));
         }
         self.orders = Some(orders);
-        self.taken_back.retain(|_, at| now.since(*at) < REMEMBERED_MS);
+        self.cancelled.retain(|_, at| now.since(*at) < CANCELLED_RETENTION_MS);
         for data_centre in &ordered {
             self.in_force_from.insert(data_centre.clone(), now + within_ms);
-            self.taken_back.remove(data_centre);
+            self.cancelled.remove(data_centre);
         }
-        for data_centre in &taken_back {
+        for data_centre in &cancelled {
             self.in_force_from.remove(data_centre);
-            self.taken_back.insert(data_centre.clone(), now);
+            self.cancelled.insert(data_centre.clone(), now);
         }
-        Some(EvacuationsChanged { ordered, taken_back })
+        Some(EvacuationChanges { ordered, cancelled })
     }
 
-    /// Takes in that operators took the order of a data centre back, whatever
-    /// is held against a copy of the store; tells whether it was.
-    pub fn let_go(&mut self, data_centre: &DataCentreId, now: Millis) -> bool {
+    /// Releases the held order of a data centre, because operators cancelled
+    /// the order or the hold expired. Returns whether an order was held.
+    pub fn release_held(
+        &mut self,
+        data_centre: &DataCentreId,
+        now: Millis,
+    ) -> bool {
         let was_held = self.held.remove(data_centre).is_some();
         if was_held {
             self.in_force_from.remove(data_centre);
-            self.taken_back.insert(data_centre.clone(), now);
+            self.cancelled.insert(data_centre.clone(), now);
         }
         was_held
     }
 
-    /// Returns the data centres of which orders are held against a copy of the
-    /// store for no longer.
-    pub fn held_out(&self, now: Millis) -> Vec<DataCentreId> {
-        let over = self.held.iter().filter(|(_, until)| now >= **until);
-        over.map(|(one, _)| one.clone()).collect()
+    /// Returns the data centres whose hold has expired.
+    pub fn expired_holds(&self, now: Millis) -> Vec<DataCentreId> {
+        let expired = self.held.iter().filter(|(_, until)| now >= **until);
+        expired.map(|(one, _)| one.clone()).collect()
     }
 }
 
-/// Returns the services that have upstreams only in empty data centres; where
-/// regions are declared, in each region by itself, since requests may be bound
-/// to it.
-pub fn left_without(
+/// Returns the services whose upstreams are all in the data centres
+/// `evacuated`.
+///
+/// Where regions are declared, each region is checked by itself, since requests
+/// may be bound to a region. Upstreams that are leaving do not count.
+pub fn services_without_upstreams(
     listing: &Listing,
-    empty: &BTreeSet<DataCentreId>,
+    evacuated: &BTreeSet<DataCentreId>,
     topology: &Topology,
 ) -> BTreeSet<(ServiceName, Option<RegionId>)> {
-    let mut is_left = BTreeMap::new();
+    let mut has_upstream = BTreeMap::new();
     for upstream in listing.upstreams.values().filter(|one| !one.leaving) {
         let region = topology.region_of(&upstream.data_centre).cloned();
-        let place = (upstream.service.clone(), region);
-        let left = is_left.entry(place).or_insert(false);
-        *left |= !empty.contains(&upstream.data_centre);
+        let key = (upstream.service.clone(), region);
+        let available = has_upstream.entry(key).or_insert(false);
+        *available |= !evacuated.contains(&upstream.data_centre);
     }
-    let without = is_left.into_iter().filter(|(_, left)| !left);
-    without.map(|(place, _)| place).collect()
+    let without = has_upstream.into_iter().filter(|(_, available)| !available);
+    without.map(|(key, _)| key).collect()
 }
--- a/crates/valehold-core/src/fleet/event.rs
+++ b/crates/valehold-core/src/fleet/event.rs
@@ -1,28 +1,30 @@
-//! Cutting a stream of events into whole ones, and keeping their order.
+//! Splits a streamed answer into whole events, and checks the order of the
+//! events.
 //!
-//! An answer that streams is a series of events, each ended by an empty
-//! line, with rising numbers in a line `id: N`. Only whole events are passed
-//! on, so that an upstream that breaks off inside one can be replaced.
+//! A streamed answer is a series of events. Each event ends with an empty line
+//! and has a number in a line `id: N`; the numbers rise by one. Only whole
+//! events are passed on to the caller, so that another upstream can continue
+//! the stream if one breaks off inside an event.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes that one event may have.
+/// The maximum size of an event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// An event without its number, or one that is too long.
+/// The error that an event exceeds the maximum size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NotAnEvent;
+pub struct EventTooLong;
 
-/// One whole event.
+/// A whole event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its number, if it has one.
+    /// The number of the event, or `None` if the event has no valid number.
     pub id: Option<u64>,
-    /// Its bytes, with the empty line.
+    /// The bytes of the event, including the empty line at the end.
     pub bytes: Bytes,
 }
 
-/// Collects bytes and gives out whole events.
+/// Buffers received bytes and splits them into whole events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
@@ -30,20 +32,22 @@
 }
 
 impl EventSplitter {
-    /// Takes in bytes as they came.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event.
+    /// Removes and returns the next whole event, or `None` if the buffer
+    /// contains no whole event.
     ///
     /// # Errors
     ///
-    /// If what came is too long for an event.
-    pub fn next_event(&mut self) -> Result<Option<Event>, NotAnEvent> {
+    /// If the buffer exceeds the maximum size of an event and contains no whole
+    /// event.
+    pub fn next_event(&mut self) -> Result<Option<Event>, EventTooLong> {
         let Some(length) = self.event_length() else {
             return match self.pending.len() > MAX_EVENT_BYTES {
-                true => Err(NotAnEvent),
+                true => Err(EventTooLong),
                 false => Ok(None),
             };
         };
@@ -52,8 +56,8 @@
         Ok(Some(Event { id: event_id(&bytes), bytes }))
     }
 
-    /// Tells whether a part of an event is left over.
-    pub fn has_rest(&self) -> bool {
+    /// Reports whether the buffer contains bytes that were not returned.
+    pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
@@ -92,46 +96,49 @@
     line.trim().parse().ok()
 }
 
-/// What to do with an event.
+/// The position of an event relative to the last event that was passed on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EventPassage {
-    /// It is the next one.
-    Pass,
-    /// It was passed on before.
-    Repeated,
-    /// One before it is missing.
-    Missing,
+pub enum EventPosition {
+    /// The event is the next one, or has no number.
+    Next,
+    /// The event was passed on before.
+    Duplicate,
+    /// At least one event before this event is missing.
+    Gap,
 }
 
-/// Keeps the order of a stream's events over several upstreams.
+/// Tracks the order of a stream's events across several upstreams.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EventOrder {
     last: Option<u64>,
 }
 
 impl EventOrder {
-    /// Starts after the event that the caller has already, if any.
+    /// Creates the order of a stream that continues after event `last`, or that
+    /// starts at the beginning if the caller has no event yet.
     pub fn after(last: Option<u64>) -> Self {
         Self { last }
     }
 
-    /// Returns the number of the last event that was passed on.
+    /// Returns the number of the last event that was passed on, or `None` if
+    /// there is none.
     pub fn last(self) -> Option<u64> {
         self.last
     }
 
-    /// Judges an event by its number, and takes it in if it is next.
+    /// Returns the position of an event by its number, and records the event as
+    /// passed on if it is the next one.
     ///
-    /// The first event of all may have any number; events without one are
-    /// passed on.
-    pub fn judge(&mut self, id: Option<u64>) -> EventPassage {
-        let Some(id) = id else { return EventPassage::Pass };
+    /// The first event may have any number. An event without a number is always
+    /// the next one.
+    pub fn advance(&mut self, id: Option<u64>) -> EventPosition {
+        let Some(id) = id else { return EventPosition::Next };
         match self.last {
-            Some(last) if id <= last => return EventPassage::Repeated,
-            Some(last) if id > last + 1 => return EventPassage::Missing,
+            Some(last) if id <= last => return EventPosition::Duplicate,
+            Some(last) if id > last + 1 => return EventPosition::Gap,
             _ => {}
         }
         self.last = Some(id);
-        EventPassage::Pass
+        EventPosition::Next
     }
 }
--- a/crates/valehold-core/src/fleet/mod.rs
+++ b/crates/valehold-core/src/fleet/mod.rs
@@ -49,7 +49,7 @@
     bound::RegionBound,
     catalog::{CallerLimits, Catalog, ModelSpec, Repetition, Route, Service},
     evacuation::{
-        EvacuationChange, EvacuationNews, EvacuationView, Evacuations,
+        EvacuationChange, EvacuationState, EvacuationUpdate, Evacuations,
     },
     identity::UpstreamStart,
     index::UpstreamIndex,
--- a/crates/valehold-core/src/fleet/tests/event.rs
+++ b/crates/valehold-core/src/fleet/tests/event.rs
@@ -1,10 +1,11 @@
-//! Only whole events pass, in order, however their bytes come.
+//! Tests that only whole events are returned, in order, however the bytes are
+//! split.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
 
 use crate::{
-    fleet::event::{EventOrder, EventPassage, EventSplitter},
+    fleet::event::{EventOrder, EventPosition, EventSplitter},
     testing::cases,
 };
 
@@ -16,10 +17,10 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn bytes_may_come_in_any_pieces(
+    fn events_are_split_correctly_for_any_chunks_of_bytes(
         count in 0_u64..8,
         cut in 0_usize..20,
-        pieces in prop::collection::vec(1_usize..9, 1..80),
+        chunks in prop::collection::vec(1_usize..9, 1..80),
     ) {
         let whole: String = (1..=count).map(event).collect();
         let half = &event(count + 1)[..cut.min(event(1).len() - 1)];
@@ -28,11 +29,11 @@
         let mut passed = String::new();
         let mut ids = Vec::new();
         let mut rest = bytes.as_bytes();
-        let mut sizes = pieces.iter().cycle();
+        let mut sizes = chunks.iter().cycle();
         while !rest.is_empty() {
             let size = (*sizes.next().unwrap()).min(rest.len());
-            let (piece, later) = rest.split_at(size);
-            splitter.push(piece);
+            let (chunk, later) = rest.split_at(size);
+            splitter.push(chunk);
             rest = later;
             while let Some(event) = splitter.next_event().unwrap() {
                 passed.push_str(std::str::from_utf8(&event.bytes).unwrap());
@@ -41,23 +42,23 @@
         }
         prop_assert_eq!(passed, whole);
         prop_assert_eq!(ids, (1..=count).collect::<Vec<_>>());
-        prop_assert_eq!(splitter.has_rest(), !half.is_empty());
+        prop_assert_eq!(splitter.has_pending(), !half.is_empty());
     }
 
     #[test]
-    fn each_event_passes_once_and_in_order(
+    fn each_event_is_passed_on_once_and_in_order(
         last in prop::option::of(0_u64..5),
         ids in prop::collection::vec(0_u64..12, 0..40),
     ) {
         let mut order = EventOrder::after(last);
         let mut passed: Vec<u64> = last.into_iter().collect();
         for id in ids {
-            match order.judge(Some(id)) {
-                EventPassage::Pass => passed.push(id),
-                EventPassage::Repeated => {
+            match order.advance(Some(id)) {
+                EventPosition::Next => passed.push(id),
+                EventPosition::Duplicate => {
                     prop_assert!(id <= *passed.last().unwrap());
                 }
-                EventPassage::Missing => {
+                EventPosition::Gap => {
                     prop_assert!(id > *passed.last().unwrap() + 1);
                 }
             }
@@ -68,17 +69,17 @@
 }
 
 #[gtest]
-fn lines_may_end_in_two_ways() {
+fn lines_may_end_in_lf_or_crlf() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 4\r\ndata: x\r\n\r\nid: 5\r\n");
     let event = splitter.next_event().unwrap().unwrap();
     expect_that!(event.id, some(eq(4)));
     expect_that!(splitter.next_event(), ok(none()));
-    expect_true!(splitter.has_rest());
+    expect_true!(splitter.has_pending());
 }
 
 #[gtest]
-fn what_never_ends_is_no_event() {
+fn an_event_beyond_the_maximum_size_is_an_error() {
     let mut splitter = EventSplitter::default();
     splitter.push(&vec![b'x'; 2 << 20]);
     expect_that!(splitter.next_event(), err(anything()));
--- a/crates/valehold-gateway/src/control/evacuating.rs
+++ b/crates/valehold-gateway/src/control/evacuating.rs
@@ -6,8 +6,8 @@
 use valehold_core::{
     Millis,
     fleet::{
-        EvacuationChange, EvacuationNews, Evacuations,
-        evacuation::left_without, topology::Topology,
+        EvacuationChange, EvacuationUpdate, Evacuations,
+        evacuation::services_without_upstreams, topology::Topology,
     },
     id::DataCentreId,
 };
@@ -36,7 +36,7 @@
         now: Millis,
     ) -> Option<EvacuationWord> {
         let orders = self.evacuations.orders()?.clone();
-        let left_ms = self.evacuations.longest_left_ms(now);
+        let left_ms = self.evacuations.max_left_ms(now);
         Some(EvacuationWord { orders, left_ms })
     }
 
@@ -46,15 +46,15 @@
     /// taken an order any time ago.
     pub(super) fn evacuate_by_store(
         &mut self,
-        news: EvacuationNews,
+        news: EvacuationUpdate,
         was_lost: bool,
         now: Millis,
     ) {
         let is_first = !self.evacuations.is_known();
         let (orders, left_ms) = match news {
             // They may have stood for any time.
-            EvacuationNews::Whole(orders) => (orders, 0),
-            EvacuationNews::Changes(changes) => {
+            EvacuationUpdate::Full(orders) => (orders, 0),
+            EvacuationUpdate::Changes(changes) => {
                 let Some(known) = self.evacuations.orders() else {
                     log::warn!(
                         "changes of orders to empty data centres \
@@ -63,7 +63,7 @@
                     return;
                 };
                 let left_ms = if was_lost { 0 } else { self.still_used_ms() };
-                let orders = known.after(changes.iter().cloned());
+                let orders = known.with_changes(changes.iter().cloned());
                 self.let_go_of_held(&changes, now);
                 (orders, left_ms)
             }
@@ -87,8 +87,8 @@
         let taken_back = changes.iter().filter(|one| !one.is_ordered);
         let taken_back = taken_back.map(|one| one.data_centre.clone());
         let mut over: Vec<DataCentreId> = taken_back.collect();
-        over.extend(self.evacuations.held_out(now));
-        over.retain(|one| self.evacuations.let_go(one, now));
+        over.extend(self.evacuations.expired_holds(now));
+        over.retain(|one| self.evacuations.release_held(one, now));
         if over.is_empty() {
             return;
         }
@@ -128,10 +128,11 @@
         let topology = &self.shared.topology;
         let orders = without_surplus(orders, topology);
         let was_known = self.evacuations.is_known();
-        let Some(changed) = self.evacuations.hear(orders, left_ms, now) else {
+        let Some(changed) = self.evacuations.update(orders, left_ms, now)
+        else {
             return false;
         };
-        let is_any = changed.is_any();
+        let is_any = changed.has_any();
         for data_centre in &changed.ordered {
             let is_declared = topology.region_of(data_centre).is_some();
             Event::EvacuationOrdered {
@@ -143,7 +144,7 @@
             }
             .log();
         }
-        for data_centre in changed.taken_back {
+        for data_centre in changed.cancelled {
             self.may_have_cooled(&data_centre, now);
             Event::EvacuationTakenBack { data_centre, version, source }.log();
         }
@@ -183,7 +184,9 @@
         }
         let listing = self.upstreams.listing();
         let topology = &self.shared.topology;
-        for (service, region) in left_without(listing, &in_force, topology) {
+        for (service, region) in
+            services_without_upstreams(listing, &in_force, topology)
+        {
             Event::EvacuationLeavesNone { service, region }.log();
         }
         self.told_evacuations = in_force;
--- a/crates/valehold-gateway/src/control/feeds/tests.rs
+++ b/crates/valehold-gateway/src/control/feeds/tests.rs
@@ -9,7 +9,7 @@
 use tokio::{sync::mpsc, time::Instant};
 use valehold_core::{
     fleet::{
-        Catalog, EvacuationNews, Evacuations, Listing,
+        Catalog, EvacuationUpdate, Evacuations, Listing,
         catalog::CallerLimits,
         crashes::{RecordChange, RecordSight},
     },
@@ -124,7 +124,7 @@
             Ok(CatalogNews::Heard {
                 version,
                 catalog: Some(catalog),
-                evacuations: EvacuationNews::Whole(whole),
+                evacuations: EvacuationUpdate::Full(whole),
             })
         }
         .boxed()
@@ -141,7 +141,7 @@
             Ok(CatalogNews::Heard {
                 version,
                 catalog: is_new.then(|| Box::new(catalog(version))),
-                evacuations: EvacuationNews::Changes(Vec::new()),
+                evacuations: EvacuationUpdate::Changes(Vec::new()),
             })
         }
         .boxed()
--- a/crates/valehold-gateway/src/control/input.rs
+++ b/crates/valehold-gateway/src/control/input.rs
@@ -5,7 +5,7 @@
 use valehold_core::{
     Millis, Verdict,
     fleet::{
-        Catalog, EvacuationNews, Listing, UpstreamStart,
+        Catalog, EvacuationUpdate, Listing, UpstreamStart,
         replicas::LoadSource,
         weight_loads::{LoadEnd, OrderPlace},
     },
@@ -130,7 +130,7 @@
         /// The configuration, if there is a newer one.
         catalog: Option<Box<Catalog>>,
         /// Orders to empty data centres.
-        evacuations: EvacuationNews,
+        evacuations: EvacuationUpdate,
     },
     /// The store did not answer a read or a watch.
     StoreFailed {
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -56,7 +56,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EvacuationView, KnownUpstreams, cold::PermitGrantor,
+        Asked, Catalog, EvacuationState, KnownUpstreams, cold::PermitGrantor,
         lapsed::StorePresence,
     },
     id::{DataCentreId, InstanceId},
@@ -153,7 +153,7 @@
     sums: Sums,
     life: Life,
     catalog: Option<Arc<Catalog>>,
-    evacuations: EvacuationView,
+    evacuations: EvacuationState,
     /// The data centres that operators were told to be empty.
     told_evacuations: BTreeSet<DataCentreId>,
     upstreams: KnownUpstreams,
@@ -272,7 +272,7 @@
             sums: Sums::default(),
             life: Life::Starting,
             catalog: None,
-            evacuations: EvacuationView::default(),
+            evacuations: EvacuationState::default(),
             told_evacuations: BTreeSet::new(),
             upstreams: KnownUpstreams::default(),
             watch_orders,
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -27,7 +27,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EngineHolding, EvacuationView, KnownUpstreams,
+        Asked, Catalog, EngineHolding, EvacuationState, KnownUpstreams,
         Listing, RegionBound, Upstream, UpstreamStart, Variant,
         asked::BoundUse,
         catalog::EngineSpec,
@@ -166,7 +166,7 @@
 
     /// Takes in which data centres are to be empty: engines in them count as
     /// gone, so that what they hold comes up elsewhere.
-    pub(super) fn evacuate(&mut self, orders: &EvacuationView) {
+    pub(super) fn evacuate(&mut self, orders: &EvacuationState) {
         self.emptied = orders.ordered().cloned().collect();
         for entry in self.entries.values_mut() {
             entry.empty(self.emptied.contains(&entry.data_centre));
--- a/crates/valehold-gateway/src/traffic/answer.rs
+++ b/crates/valehold-gateway/src/traffic/answer.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use valehold_core::fleet::{
     Upstream, UpstreamStart, Variant,
-    event::{EventOrder, EventPassage, EventSplitter},
+    event::{EventOrder, EventPosition, EventSplitter},
 };
 
 use super::{
@@ -117,7 +117,7 @@
                     log::debug!("{} broke off: {error}", self.upstream.id);
                     return Err(BrokenOff);
                 }
-                None if self.splitter.has_rest() => return Err(BrokenOff),
+                None if self.splitter.has_pending() => return Err(BrokenOff),
                 None => {
                     self.let_rest(app);
                     return Ok(Next::End);
@@ -134,10 +134,10 @@
         loop {
             let event = self.splitter.next_event().map_err(|_| BrokenOff)?;
             let Some(event) = event else { return Ok(all.freeze()) };
-            match order.judge(event.id) {
-                EventPassage::Pass => all.extend_from_slice(&event.bytes),
-                EventPassage::Repeated => {}
-                EventPassage::Missing => return Err(BrokenOff),
+            match order.advance(event.id) {
+                EventPosition::Next => all.extend_from_slice(&event.bytes),
+                EventPosition::Duplicate => {}
+                EventPosition::Gap => return Err(BrokenOff),
             }
         }
     }
--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -132,7 +132,7 @@
 ) -> impl Iterator<Item = &'a Arc<Upstream>> {
     let now = app.now();
     only_inside_bound(app, view, job, upstreams).filter(move |upstream| {
-        !view.evacuations.is_empty(&upstream.data_centre, now)
+        !view.evacuations.is_evacuated(&upstream.data_centre, now)
     })
 }
 
@@ -142,11 +142,11 @@
     view: &View,
     upstreams: Vec<T>,
 ) -> Vec<T> {
-    if !view.evacuations.is_any() {
+    if !view.evacuations.any_evacuating() {
         return upstreams;
     }
     let is_emptying =
-        |one: &T| view.evacuations.is_emptying(&one.as_ref().data_centre);
+        |one: &T| view.evacuations.is_evacuating(&one.as_ref().data_centre);
     let (emptying, staying): (Vec<_>, Vec<_>) =
         upstreams.into_iter().partition(is_emptying);
     if staying.is_empty() { emptying } else { staying }
--- a/crates/valehold-gateway/src/view.rs
+++ b/crates/valehold-gateway/src/view.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use valehold_core::{
     fleet::{
-        Catalog, EvacuationView, Listing, UpstreamIndex,
+        Catalog, EvacuationState, Listing, UpstreamIndex,
         lapsed::LapsedUpstreams, recent::RecentChanges,
     },
     id::DataCentreId,
@@ -96,7 +96,7 @@
     /// Those of them that fell off the list with the store.
     pub lapsed: LapsedUpstreams,
     /// The data centres that are to be empty, and those that were lately.
-    pub evacuations: EvacuationView,
+    pub evacuations: EvacuationState,
     /// Whether some gateway is heard to hold the lease.
     pub has_holder: bool,
     /// Every gateway that is ready, this one among them.
@@ -112,7 +112,7 @@
             index: UpstreamIndex::default(),
             recent: Arc::default(),
             lapsed: LapsedUpstreams::default(),
-            evacuations: EvacuationView::default(),
+            evacuations: EvacuationState::default(),
             has_holder: false,
             ready: Arc::default(),
         }
--- a/crates/valehold-ports/src/port/fleet.rs
+++ b/crates/valehold-ports/src/port/fleet.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use valehold_core::{
     fleet::{
-        Catalog, EvacuationNews, Holding, Listing, Upstream, Variant,
+        Catalog, EvacuationUpdate, Holding, Listing, Upstream, Variant,
         crashes::{RecordChange, RecordSight},
         upstream_limit::StatedLimit,
         workspace::KeyDigest,
@@ -32,7 +32,7 @@
         catalog: Option<Box<Catalog>>,
         /// Orders to empty data centres: all after a read, changes after a
         /// watch.
-        evacuations: EvacuationNews,
+        evacuations: EvacuationUpdate,
     },
     /// The store forgot its history: read anew.
     HistoryGone,
