--- a/crates/valehold-core/src/fleet/mod.rs
+++ b/crates/valehold-core/src/fleet/mod.rs
@@ -4,7 +4,7 @@
 //! The upstreams of a service list themselves; those that run models also
 //! say which models they hold. From both follow the choice of an upstream
 //! ([`choice`]), who may send to one that is cold ([`cold`]), how many second
-//! sends one instance may make ([`share`]),
+//! sends one instance may make ([`retry_share`]),
 //! which models are to be loaded where ([`replicas`], [`adapters`]), and how
 //! many of them may come from the weight store ([`weight_loads`]).
 
@@ -26,11 +26,12 @@
 pub mod listing;
 pub mod pace;
 pub mod paces;
+pub mod path_cost;
 pub mod peaks;
 pub mod recent;
 pub mod replicas;
 pub mod rest;
-pub mod share;
+pub mod retry_share;
 pub mod slot_time;
 pub mod store_version;
 #[cfg(test)]
@@ -39,7 +40,6 @@
 pub mod turned_away;
 pub mod upstream_limit;
 pub mod usage;
-pub mod ways;
 pub mod weight_loads;
 pub mod window;
 pub mod workspace;
--- a/crates/valehold-core/src/fleet/paces.rs
+++ b/crates/valehold-core/src/fleet/paces.rs
@@ -1,12 +1,12 @@
-//! How fast engines read prompts, and how much longer some models take: learned
-//! by all gateways together.
+//! The paces of engines and models when they read prompts, learned by all
+//! gateways together.
 //!
-//! One gateway of many sends an engine a request now and then, and learns
-//! little of it before it has changed. So each tells what it saw: when a first
-//! event came, against when it would have come if engine and model were as
-//! fast as all are taken to be. Those that hear all, the hubs, divide each
-//! difference between the engine and the model ([`PaceBook`]), and tell what
-//! they learned ([`Paces`]).
+//! One gateway of many sends an engine a request only now and then. Alone, it
+//! would learn little of an engine before the engine has changed. Each gateway
+//! therefore reports its observations: when a first event arrived, relative to
+//! the time expected if engine and model had the standard pace. The hubs, which
+//! receive all reports, divide each deviation between the engine and the model
+//! ([`PaceEstimator`]), and advertise the estimates ([`Paces`]).
 
 use std::collections::BTreeMap;
 
@@ -17,26 +17,27 @@
     time::Millis,
 };
 
-/// A ratio, by its logarithm in steps of a thirty-second: from 1/53 to 53,
-/// to 3 in 100.
+/// A ratio, stored as its natural logarithm in steps of 1/32. The ratio ranges
+/// from 1/53 to 53, with a precision of 3 in 100.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LogRatio(i8);
 
-/// Steps for a change by a factor of e.
-const STEPS: f64 = 32.0;
+/// The number of steps for a change by a factor of e.
+const STEPS_PER_E: f64 = 32.0;
 
 impl LogRatio {
-    /// Makes it of a ratio's natural logarithm.
+    /// Creates a ratio from its natural logarithm, rounded and clamped to the
+    /// range of the type.
     #[allow(clippy::cast_possible_truncation)]
     pub fn from_ln(ln: f64) -> Self {
-        let steps = (ln * STEPS).round();
+        let steps = (ln * STEPS_PER_E).round();
         Self(steps.clamp(f64::from(i8::MIN), f64::from(i8::MAX)) as i8)
     }
 
-    /// Returns the ratio's natural logarithm.
+    /// Returns the natural logarithm of the ratio.
     pub fn ln(self) -> f64 {
-        f64::from(self.0) / STEPS
+        f64::from(self.0) / STEPS_PER_E
     }
 
     /// Returns the ratio.
@@ -45,217 +46,228 @@
     }
 }
 
-/// What a gateway saw of one first event.
+/// The observation of a gateway about one first event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PaceObservation {
     /// The engine.
     pub engine: UpstreamTag,
     /// The model.
     pub model: ModelTag,
-    /// How long reading took, against how long it would have taken if engine
-    /// and model were as fast as all are taken to be.
-    pub took: LogRatio,
+    /// The measured reading time, relative to the time expected at the standard
+    /// pace of engines and models.
+    pub ratio: LogRatio,
 }
 
-/// How long engines and models take, against what all are taken to. Those
-/// that are not among them take about as long.
+/// The reading times of engines and models, relative to the standard pace.
+/// Engines and models without an entry have about the standard pace.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Paces {
-    /// Engines.
+    /// The engines.
     pub engines: BTreeMap<UpstreamTag, LogRatio>,
-    /// Models.
+    /// The models.
     pub models: BTreeMap<ModelTag, LogRatio>,
 }
 
 impl Paces {
-    /// Returns how many times as long an engine takes.
+    /// Returns the factor by which an engine takes longer than standard.
     pub fn of_engine(&self, engine: UpstreamTag) -> f64 {
         self.engines.get(&engine).map_or(1.0, |ratio| ratio.ratio())
     }
 
-    /// Returns how many times as long a model takes.
+    /// Returns the factor by which a model takes longer than standard.
     pub fn of_model(&self, model: ModelTag) -> f64 {
         self.models.get(&model).map_or(1.0, |ratio| ratio.ratio())
     }
 }
 
-/// Changes of what was learned since it was told last.
+/// An update of the paces since the last advertisement.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PaceNews {
-    /// Whether those that are not among them take as long as all.
-    pub is_whole: bool,
-    /// What was learned.
+pub struct PaceUpdate {
+    /// Whether the update replaces all paces, so that engines and models
+    /// without an entry have the standard pace.
+    pub is_full: bool,
+    /// The changed paces, or all paces in a full update.
     pub paces: Paces,
 }
 
 impl Paces {
-    /// Takes in news.
-    pub fn hear(&mut self, news: &PaceNews) {
-        if news.is_whole {
-            *self = news.paces.clone();
+    /// Applies an update.
+    pub fn apply(&mut self, update: &PaceUpdate) {
+        if update.is_full {
+            *self = update.paces.clone();
             return;
         }
-        self.engines.extend(&news.paces.engines);
-        self.models.extend(&news.paces.models);
+        self.engines.extend(&update.paces.engines);
+        self.models.extend(&update.paces.models);
     }
 }
 
-/// How often all is told although not all changed, in ms: who lost a datagram
-/// is wrong for so long at the most.
-const WHOLE_EVERY_MS: u64 = 3_000;
+/// The interval of full updates, in ms. A gateway that lost a datagram uses
+/// wrong paces for at most this long.
+const FULL_UPDATE_INTERVAL_MS: u64 = 3_000;
 
-/// Changes below this many steps of a [`LogRatio`] wait until all is told: one
-/// in ten.
-const LEAST_CHANGE: u8 = 3;
+/// The least change that is advertised before the next full update, in steps
+/// of a [`LogRatio`]: about one in ten.
+const MIN_CHANGE_STEPS: u8 = 3;
 
-/// What was told last.
+/// The paces that were advertised last.
 #[derive(Debug, Clone, Default)]
-pub struct ToldPaces {
-    told: Paces,
-    whole: Option<Millis>,
+pub struct AdvertisedPaces {
+    last: Paces,
+    last_full_at: Option<Millis>,
 }
 
-impl ToldPaces {
-    /// Returns what to tell of what was learned.
-    pub fn news(&mut self, paces: Paces, now: Millis) -> PaceNews {
-        let is_due = |at: Millis| now.since(at) >= WHOLE_EVERY_MS;
-        if self.whole.is_none_or(is_due) {
-            self.whole = Some(now);
-            self.told = paces.clone();
-            return PaceNews { is_whole: true, paces };
+impl AdvertisedPaces {
+    /// Returns the update to advertise for the current paces: a full update if
+    /// one is due, and otherwise the sufficiently changed paces.
+    pub fn next_update(&mut self, paces: Paces, now: Millis) -> PaceUpdate {
+        let is_due = |at: Millis| now.since(at) >= FULL_UPDATE_INTERVAL_MS;
+        if self.last_full_at.is_none_or(is_due) {
+            self.last_full_at = Some(now);
+            self.last = paces.clone();
+            return PaceUpdate { is_full: true, paces };
         }
         let changed = Paces {
-            engines: changed(&self.told.engines, &paces.engines),
-            models: changed(&self.told.models, &paces.models),
+            engines: changed(&self.last.engines, &paces.engines),
+            models: changed(&self.last.models, &paces.models),
         };
-        let news = PaceNews { is_whole: false, paces: changed };
-        self.told.hear(&news);
-        news
+        let update = PaceUpdate { is_full: false, paces: changed };
+        self.last.apply(&update);
+        update
     }
 }
 
-/// Returns what differs enough from what was told; what is not there any more
-/// is as all are.
+/// Returns the ratios that differ by at least [`MIN_CHANGE_STEPS`] from the
+/// last advertised ones. A missing ratio stands for the standard pace.
 fn changed<K: Ord + Copy>(
-    told: &BTreeMap<K, LogRatio>,
-    now: &BTreeMap<K, LogRatio>,
+    last: &BTreeMap<K, LogRatio>,
+    current: &BTreeMap<K, LogRatio>,
 ) -> BTreeMap<K, LogRatio> {
-    let as_all = LogRatio(0);
-    let all = told.keys().chain(now.keys());
+    let standard = LogRatio(0);
+    let all = last.keys().chain(current.keys());
     let differing = all.filter_map(|key| {
-        let before = told.get(key).unwrap_or(&as_all);
-        let after = now.get(key).unwrap_or(&as_all);
+        let before = last.get(key).unwrap_or(&standard);
+        let after = current.get(key).unwrap_or(&standard);
         let change = before.0.abs_diff(after.0);
-        (change >= LEAST_CHANGE).then_some((*key, *after))
+        (change >= MIN_CHANGE_STEPS).then_some((*key, *after))
     });
     differing.collect()
 }
 
-/// How fast what is learned follows what is seen, once enough was: the part
-/// that one more observation counts. Engines turn slow within a second, while
-/// models stay as they are.
+/// The least weight of one more observation in the estimate of an engine.
+/// Engines may become slow within a second, so the weight is higher than that
+/// for models.
 const ENGINE_GAIN: f64 = 0.12;
+/// The least weight of one more observation in the estimate of a model. The
+/// pace of a model does not change.
 const MODEL_GAIN: f64 = 0.03;
 
-/// Of how many observations what is taken at first counts for.
+/// The number of observations for which the standard pace counts in a new
+/// estimate.
 const PRIOR_COUNT: f64 = 3.0;
 
-/// In how many ms what was learned of an engine counts for half, if nothing
-/// more is seen of it: whoever is taken for slow is asked seldom, and is to be
-/// asked again.
+/// The half-life of the estimate of an engine without new observations, in ms.
+/// An engine that is estimated as slow gets few requests; the decay makes the
+/// gateways try such an engine again.
 const ENGINE_HALF_LIFE_MS: f64 = 8_000.0;
 
-/// The same for a model.
+/// The half-life of the estimate of a model without new observations, in ms.
 const MODEL_HALF_LIFE_MS: f64 = 120_000.0;
 
-/// The most that one observation speaks for, as a logarithm: what gateways
-/// believe of queues is off at times by far more than engines are.
-const MOST_SURPRISE: f64 = 1.0;
+/// The maximum residual of one observation, as a logarithm. The queue lengths
+/// assumed by gateways are at times wrong by far more than the paces of
+/// engines differ.
+const MAX_RESIDUAL: f64 = 1.0;
 
-/// Differences below this are not told, as a logarithm.
-const LEAST_TOLD: f64 = 0.06;
+/// The least deviation from the standard pace that is advertised, as a
+/// logarithm.
+const MIN_ADVERTISED_LN: f64 = 0.06;
 
-/// Something that is learned.
+/// The estimate of the pace of one engine or model.
 #[derive(Debug, Clone, Copy, Default)]
-struct Learned {
+struct Estimate {
     ln: f64,
     count: f64,
-    updated: Millis,
+    updated_at: Millis,
 }
 
-impl Learned {
+impl Estimate {
+    /// Returns the estimate decayed to the time `now`.
     #[allow(clippy::cast_precision_loss)]
     fn at(self, half_life_ms: f64, now: Millis) -> Self {
-        let age_ms = now.since(self.updated) as f64;
+        let age_ms = now.since(self.updated_at) as f64;
         let kept = (-age_ms / half_life_ms).exp2();
-        Self { ln: self.ln * kept, count: self.count * kept, updated: now }
+        Self { ln: self.ln * kept, count: self.count * kept, updated_at: now }
     }
 
-    fn learn(&mut self, surprise: f64, least_gain: f64) {
-        let gain = (1.0 / (self.count + PRIOR_COUNT)).max(least_gain);
-        self.ln += surprise * gain;
+    fn learn(&mut self, residual: f64, min_gain: f64) {
+        let gain = (1.0 / (self.count + PRIOR_COUNT)).max(min_gain);
+        self.ln += residual * gain;
         self.count += 1.0;
     }
 }
 
-/// What is learned of observations.
+/// Estimates the paces of engines and models from observations.
 #[derive(Debug, Clone, Default)]
-pub struct PaceBook {
-    engines: BTreeMap<UpstreamTag, Learned>,
-    models: BTreeMap<ModelTag, Learned>,
+pub struct PaceEstimator {
+    engines: BTreeMap<UpstreamTag, Estimate>,
+    models: BTreeMap<ModelTag, Estimate>,
 }
 
-impl PaceBook {
-    /// Learns from what gateways saw.
-    pub fn learn(&mut self, seen: &[PaceObservation], now: Millis) {
-        for one in seen {
+impl PaceEstimator {
+    /// Updates the estimates from the observations of gateways.
+    pub fn learn(&mut self, observations: &[PaceObservation], now: Millis) {
+        for one in observations {
             let engine = self.engines.entry(one.engine).or_default();
             let model = self.models.entry(one.model).or_default();
             *engine = engine.at(ENGINE_HALF_LIFE_MS, now);
             *model = model.at(MODEL_HALF_LIFE_MS, now);
-            let surprise = one.took.ln() - engine.ln - model.ln;
-            let surprise = surprise.clamp(-MOST_SURPRISE, MOST_SURPRISE);
-            engine.learn(surprise, ENGINE_GAIN);
-            model.learn(surprise, MODEL_GAIN);
+            let residual = one.ratio.ln() - engine.ln - model.ln;
+            let residual = residual.clamp(-MAX_RESIDUAL, MAX_RESIDUAL);
+            engine.learn(residual, ENGINE_GAIN);
+            model.learn(residual, MODEL_GAIN);
         }
     }
 
-    /// Takes over what another one learned, where nothing was learned here.
+    /// Adopts the paces that another hub advertised, for engines and models that
+    /// have no estimate here.
     pub fn adopt(&mut self, paces: &Paces, now: Millis) {
-        let taken_over = |ratio: &LogRatio| Learned {
+        let adopted = |ratio: &LogRatio| Estimate {
             ln: ratio.ln(),
             count: PRIOR_COUNT,
-            updated: now,
+            updated_at: now,
         };
         for (engine, ratio) in &paces.engines {
-            self.engines.entry(*engine).or_insert_with(|| taken_over(ratio));
+            self.engines.entry(*engine).or_insert_with(|| adopted(ratio));
         }
         for (model, ratio) in &paces.models {
-            self.models.entry(*model).or_insert_with(|| taken_over(ratio));
+            self.models.entry(*model).or_insert_with(|| adopted(ratio));
         }
     }
 
-    /// Returns what was learned, where it differs from what all are taken for.
+    /// Returns the estimated paces that differ from the standard pace.
     pub fn paces(&self, now: Millis) -> Paces {
-        let engines = self.engines.iter().filter_map(|(engine, learned)| {
-            let ln = learned.at(ENGINE_HALF_LIFE_MS, now).ln;
-            Some((*engine, told(ln)?))
+        let engines = self.engines.iter().filter_map(|(engine, estimate)| {
+            let ln = estimate.at(ENGINE_HALF_LIFE_MS, now).ln;
+            Some((*engine, advertised_ratio(ln)?))
         });
-        let models = self.models.iter().filter_map(|(model, learned)| {
-            let ln = learned.at(MODEL_HALF_LIFE_MS, now).ln;
-            Some((*model, told(ln)?))
+        let models = self.models.iter().filter_map(|(model, estimate)| {
+            let ln = estimate.at(MODEL_HALF_LIFE_MS, now).ln;
+            Some((*model, advertised_ratio(ln)?))
         });
         Paces { engines: engines.collect(), models: models.collect() }
     }
 
-    /// Forgets engines of which nothing was seen for long.
-    pub fn sweep(&mut self, now: Millis) {
-        self.engines.retain(|_, learned| {
-            learned.at(ENGINE_HALF_LIFE_MS, now).ln.abs() >= LEAST_TOLD / 2.0
+    /// Removes the estimates of engines that have decayed to about the standard
+    /// pace.
+    pub fn prune(&mut self, now: Millis) {
+        self.engines.retain(|_, estimate| {
+            estimate.at(ENGINE_HALF_LIFE_MS, now).ln.abs()
+                >= MIN_ADVERTISED_LN / 2.0
         });
     }
 }
 
-fn told(ln: f64) -> Option<LogRatio> {
-    (ln.abs() >= LEAST_TOLD).then(|| LogRatio::from_ln(ln))
+fn advertised_ratio(ln: f64) -> Option<LogRatio> {
+    (ln.abs() >= MIN_ADVERTISED_LN).then(|| LogRatio::from_ln(ln))
 }
--- a/crates/valehold-core/src/fleet/ways.rs
+++ b/crates/valehold-core/src/fleet/path_cost.rs
@@ -1,9 +1,10 @@
-//! What the way to another data centre costs a request.
+//! The cost of the network path to another data centre for a request.
 //!
-//! Settings say how long the ways within a region and between regions take at
-//! first; how long each really takes is learned from connections that are
-//! made. Beside the time, bytes between data centres have a price; it counts
-//! in a choice as a time would, and is no part of what is predicted.
+//! The settings give the initial latencies within a region and between regions.
+//! The actual latency of each path is learned from the connections that are
+//! made. In addition to the latency, bytes between data centres have a price.
+//! The price counts like a latency when an upstream is chosen, but is not part
+//! of the predicted latency.
 
 use std::collections::BTreeMap;
 
@@ -12,19 +13,20 @@
 use super::topology::{Distance, Topology};
 use crate::id::DataCentreId;
 
-/// What distances cost, until more is known.
+/// The costs of distances: the initial latencies of the paths and the prices of
+/// bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DistanceSettings {
-    /// The way between data centres of a region, one way, in ms.
+    /// The one-way latency between data centres of a region, in ms.
     pub within_region_ms: f64,
-    /// The way between regions, one way, in ms.
+    /// The one-way latency between regions, in ms.
     pub between_regions_ms: f64,
-    /// For how many ms a caller may as well wait as have its bytes go to
-    /// another data centre of the region.
+    /// The price of sending the bytes of a request to another data centre of the
+    /// region, as the equivalent waiting time of the caller in ms.
     pub bytes_within_region_ms: f64,
-    /// For how many ms a caller may as well wait as have its bytes go to
-    /// another region.
+    /// The price of sending the bytes of a request to another region, as the
+    /// equivalent waiting time of the caller in ms.
     pub bytes_between_regions_ms: f64,
 }
 
@@ -40,7 +42,7 @@
 }
 
 impl DistanceSettings {
-    /// Tells whether all are 0 or above.
+    /// Reports whether all values are 0 or above.
     pub fn are_valid(&self) -> bool {
         let all = [
             self.within_region_ms,
@@ -51,7 +53,7 @@
         all.iter().all(|one| *one >= 0.0)
     }
 
-    /// Returns how long the way takes at first, there and back, in ms.
+    /// Returns the initial round-trip time, in ms.
     fn round_trip_ms(&self, distance: Distance) -> f64 {
         2.0 * match distance {
             Distance::SameDataCentre => 0.0,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Returns what the bytes of a request and its answer cost, in ms.
+    /// Returns the price of the bytes of a request and its answer, in ms.
     pub fn bytes_ms(&self, distance: Distance) -> f64 {
         match distance {
             Distance::SameDataCentre => 0.0,
@@ -70,71 +72,73 @@
     }
 }
 
-/// What the way to a data centre costs a request.
+/// The cost of the network path to a data centre for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Way {
-    /// How long it takes there and back, in ms.
+pub struct PathCost {
+    /// The round-trip time, in ms.
     pub round_trip_ms: f64,
-    /// What bytes on it cost, as the time that a caller may as well wait, in
+    /// The price of the bytes, as the equivalent waiting time of the caller in
     /// ms.
     pub bytes_ms: f64,
 }
 
-impl Way {
-    /// Returns the sum, in ms.
+impl PathCost {
+    /// Returns the sum of both costs, in ms.
     pub fn cost_ms(self) -> f64 {
         self.round_trip_ms + self.bytes_ms
     }
 }
 
-/// The part by which a shorter time than expected is taken over: a busy
-/// machine makes times longer and never shorter.
-const SHORTER_PART: f64 = 0.5;
+/// The weight of a new observation that is shorter than the estimate. A busy
+/// machine makes connection times longer and never shorter, so a shorter time
+/// is more reliable.
+const DECREASE_WEIGHT: f64 = 0.5;
 
-/// The part by which a longer time is taken over: a way that grew is known
-/// after some dozens of connections.
-const LONGER_PART: f64 = 0.05;
+/// The weight of a new observation that is longer than the estimate. A path that
+/// became slower is recognised after some dozens of connections.
+const INCREASE_WEIGHT: f64 = 0.05;
 
-/// How long the ways to data centres take, as connections showed.
+/// The latencies of the network paths to data centres, as measured by
+/// connections.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Ways {
+pub struct PathLatencies {
     connect_ms: BTreeMap<DataCentreId, f64>,
 }
 
-impl Ways {
-    /// Notes how long a connection to a data centre took to be made, in ms:
-    /// one round trip, and what both ends need.
-    pub fn note(&mut self, to: &DataCentreId, took_ms: f64) {
+impl PathLatencies {
+    /// Records how long a connection to a data centre took to be made, in ms: one
+    /// round trip plus the processing time of both ends.
+    pub fn record(&mut self, to: &DataCentreId, took_ms: f64) {
         let Some(known) = self.connect_ms.get_mut(to) else {
             self.connect_ms.insert(to.clone(), took_ms);
             return;
         };
-        let part = match took_ms < *known {
-            true => SHORTER_PART,
-            false => LONGER_PART,
+        let weight = match took_ms < *known {
+            true => DECREASE_WEIGHT,
+            false => INCREASE_WEIGHT,
         };
-        *known += (took_ms - *known) * part;
+        *known += (took_ms - *known) * weight;
     }
 
-    /// Returns the way to a data centre.
-    pub fn to(
+    /// Returns the cost of the network path to a data centre.
+    pub fn cost_to(
         &self,
         data_centre: &DataCentreId,
         topology: &Topology,
         settings: &DistanceSettings,
-    ) -> Way {
+    ) -> PathCost {
         let distance = topology.distance(data_centre);
-        Way {
+        PathCost {
             round_trip_ms: self.round_trip_ms(data_centre, topology, settings),
             bytes_ms: settings.bytes_ms(distance),
         }
     }
 
-    /// Returns how much longer a round trip to a data centre takes than one
-    /// within the own, in ms.
+    /// Returns the round-trip time to a data centre beyond the round-trip time
+    /// within the local data centre, in ms.
     ///
-    /// What both ends need for a connection is the same everywhere and falls
-    /// out, once connections within the own data centre were seen.
+    /// The processing time of both ends is the same everywhere. It cancels out
+    /// once connections within the local data centre were measured.
     fn round_trip_ms(
         &self,
         to: &DataCentreId,
--- a/crates/valehold-core/src/fleet/tests/pace.rs
+++ b/crates/valehold-core/src/fleet/tests/pace.rs
@@ -1,15 +1,15 @@
-//! An engine's pace is learnt, and forgotten.
+//! Tests that the pace of an engine is learned and decays.
 
 use googletest::prelude::*;
 
 use crate::{Millis, fleet::pace::Pace};
 
 #[gtest]
-fn a_slow_engine_is_known_for_a_while() {
+fn the_slowness_of_an_engine_decays() {
     let mut pace = Pace::default();
     let now = Millis::new(1_000);
     for _ in 0..10 {
-        pace.began(800.0, 200.0, now);
+        pace.observe(800.0, 200.0, now);
     }
     expect_that!(pace.slowness(now), gt(3.0));
     expect_that!(pace.slowness(now + 4_000), lt(pace.slowness(now)));
@@ -17,9 +17,9 @@
 }
 
 #[gtest]
-fn one_odd_request_changes_little() {
+fn one_outlier_changes_little() {
     let mut pace = Pace::default();
     let now = Millis::new(1_000);
-    pace.began(60_000.0, 50.0, now);
+    pace.observe(60_000.0, 50.0, now);
     expect_that!(pace.slowness(now), le(2.01));
 }
--- a/crates/valehold-core/src/fleet/tests/paces.rs
+++ b/crates/valehold-core/src/fleet/tests/paces.rs
@@ -1,4 +1,4 @@
-//! What gateways learn together of engines and models.
+//! Tests the paces of engines and models that gateways learn together.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -6,7 +6,8 @@
 use crate::{
     Millis,
     fleet::paces::{
-        LogRatio, PaceBook, PaceNews, PaceObservation, Paces, ToldPaces,
+        AdvertisedPaces, LogRatio, PaceEstimator, PaceObservation, PaceUpdate,
+        Paces,
     },
     id::{ModelName, ModelTag, UpstreamTag},
     testing::cases,
@@ -28,15 +29,16 @@
     part
 }
 
-/// Engines of three speeds and models of three paces, as on the users' sheet.
+/// Engines of three speeds and models of three paces, with the values
+/// of the users' sheet.
 fn true_ratio(engine: usize, model: usize) -> f64 {
     let speed = [1.0, 1.0, 1.3][engine % 3];
     let pace = [1.0, 0.35, 0.23][model % 3];
     speed * pace
 }
 
-/// Observations of 90 engines and 18 models, each off by a factor of up to 3
-/// either way.
+/// Returns observations of 90 engines and 18 models, each wrong by a factor of
+/// up to 3 in either direction.
 fn observe(count: usize, from: usize) -> Vec<PaceObservation> {
     let observations = (from..from + count).map(|number| {
         let (e, m) = (number * 7 % 90, number * 5 % 18);
@@ -44,13 +46,14 @@
         PaceObservation {
             engine: engine(e),
             model: model(m),
-            took: LogRatio::from_ln(true_ratio(e, m).ln() + noise),
+            ratio: LogRatio::from_ln(true_ratio(e, m).ln() + noise),
         }
     });
     observations.collect()
 }
 
-/// Returns the mean error of all pairs, as a logarithm.
+/// Returns the mean error over all pairs of an engine and a model, as a
+/// logarithm.
 fn error(paces: &Paces) -> f64 {
     let pairs = (0..90).flat_map(|e| (0..18).map(move |m| (e, m)));
     let errors = pairs.map(|(e, m)| {
@@ -61,90 +64,90 @@
 }
 
 #[gtest]
-fn engines_and_models_are_told_apart() {
-    let mut book = PaceBook::default();
-    let before = error(&book.paces(Millis::new(0)));
-    // Three hundred a second, for eight seconds.
+fn paces_of_engines_and_models_are_separated() {
+    let mut estimator = PaceEstimator::default();
+    let before = error(&estimator.paces(Millis::new(0)));
+    // 300 observations per second, for eight seconds.
     for second in 0..8 {
         let now = Millis::new(second * 1_000);
         let from = usize::try_from(second).unwrap() * 300;
-        book.learn(&observe(300, from), now);
+        estimator.learn(&observe(300, from), now);
     }
-    let after = error(&book.paces(Millis::new(8_000)));
+    let after = error(&estimator.paces(Millis::new(8_000)));
     expect_that!(before, gt(0.7));
     expect_that!(after, lt(0.25));
 }
 
 #[gtest]
-fn an_engine_that_turns_slow_is_found_within_a_second_and_forgotten() {
-    let mut book = PaceBook::default();
-    book.learn(&observe(3_000, 0), Millis::new(10_000));
+fn a_slow_engine_is_detected_within_a_second_and_decays() {
+    let mut estimator = PaceEstimator::default();
+    estimator.learn(&observe(3_000, 0), Millis::new(10_000));
     let slow = engine(0);
-    let before = book.paces(Millis::new(10_000)).of_engine(slow);
-    let seen = PaceObservation {
+    let before = estimator.paces(Millis::new(10_000)).of_engine(slow);
+    let observation = PaceObservation {
         engine: slow,
         model: model(0),
-        took: LogRatio::from_ln(5.0_f64.ln()),
+        ratio: LogRatio::from_ln(5.0_f64.ln()),
     };
     for step in 0..4 {
-        book.learn(&[seen], Millis::new(10_000 + step * 250));
+        estimator.learn(&[observation], Millis::new(10_000 + step * 250));
     }
-    let after = book.paces(Millis::new(11_000)).of_engine(slow);
+    let after = estimator.paces(Millis::new(11_000)).of_engine(slow);
     expect_that!(after, gt(before * 1.4));
-    // It is to be asked again some time.
-    let later = book.paces(Millis::new(60_000)).of_engine(slow);
+    // The estimate decays, so that the engine gets requests again.
+    let later = estimator.paces(Millis::new(60_000)).of_engine(slow);
     expect_that!(later, lt(1.1));
 }
 
 #[gtest]
-fn one_that_becomes_a_hub_goes_on_from_what_it_was_told() {
-    let mut book = PaceBook::default();
-    book.learn(&observe(3_000, 0), Millis::new(10_000));
-    let told = book.paces(Millis::new(10_000));
-    let mut successor = PaceBook::default();
-    successor.adopt(&told, Millis::new(10_000));
-    expect_that!(successor.paces(Millis::new(10_000)), eq(&told));
+fn a_new_hub_continues_from_the_advertised_paces() {
+    let mut estimator = PaceEstimator::default();
+    estimator.learn(&observe(3_000, 0), Millis::new(10_000));
+    let advertised = estimator.paces(Millis::new(10_000));
+    let mut successor = PaceEstimator::default();
+    successor.adopt(&advertised, Millis::new(10_000));
+    expect_that!(successor.paces(Millis::new(10_000)), eq(&advertised));
 }
 
 proptest! {
     #![proptest_config(cases())]
 
-    /// Who hears all news knows what was told, to one in ten; who lost some
-    /// knows it after the next whole.
+    /// A gateway that receives all updates knows the paces to one in ten. A
+    /// gateway that lost an update knows them after the next full update.
     #[test]
-    fn news_add_up(
+    fn updates_add_up_to_the_advertised_paces(
         steps in prop::collection::vec(
             (prop::collection::vec((0_usize..6, -40_i32..40), 0..5), any::<bool>()),
             1..30,
         ),
     ) {
-        let mut told = ToldPaces::default();
-        let mut heard = Paces::default();
+        let mut advertised = AdvertisedPaces::default();
+        let mut received = Paces::default();
         let mut paces = Paces::default();
         let mut now = Millis::new(0);
-        let mut lost_since_whole = false;
+        let mut lost_since_full = false;
         for (changes, is_lost) in steps {
             for (number, steps) in changes {
                 let ratio = LogRatio::from_ln(f64::from(steps) / 32.0);
                 paces.engines.insert(engine(number), ratio);
             }
             now = now + 300;
-            let news: PaceNews = told.news(paces.clone(), now);
+            let update: PaceUpdate = advertised.next_update(paces.clone(), now);
             if is_lost {
-                lost_since_whole = true;
+                lost_since_full = true;
                 continue;
             }
-            lost_since_whole &= !news.is_whole;
-            heard.hear(&news);
-            if lost_since_whole {
+            lost_since_full &= !update.is_full;
+            received.apply(&update);
+            if lost_since_full {
                 continue;
             }
             for number in 0..6 {
-                let (is, thought) = (
+                let (actual, assumed) = (
                     paces.of_engine(engine(number)),
-                    heard.of_engine(engine(number)),
+                    received.of_engine(engine(number)),
                 );
-                prop_assert!((is / thought).ln().abs() < 0.1);
+                prop_assert!((actual / assumed).ln().abs() < 0.1);
             }
         }
     }
--- a/crates/valehold-core/src/fleet/tests/share.rs
+++ b/crates/valehold-core/src/fleet/tests/retry_share.rs
@@ -1,11 +1,12 @@
-//! All instances' second sends stay within the budget, in every window.
+//! Tests that the retries of all instances stay within the budget in every
+//! window.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
 
 use crate::{
     Millis,
-    fleet::share::{RetryBudget, RetryShare},
+    fleet::retry_share::{RetryBudget, RetryShare},
     testing::cases,
 };
 
@@ -15,15 +16,15 @@
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Pass(u64),
-    First(usize),
-    Again(usize),
+    Request(usize),
+    Retry(usize),
 }
 
 fn step(instances: usize) -> impl Strategy<Value = Step> {
     prop_oneof![
         2 => (1_u64..400).prop_map(Step::Pass),
-        2 => (0..instances).prop_map(Step::First),
-        4 => (0..instances).prop_map(Step::Again),
+        2 => (0..instances).prop_map(Step::Request),
+        4 => (0..instances).prop_map(Step::Retry),
     ]
 }
 
@@ -31,23 +32,23 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn second_sends_stay_within_the_budget(
+    fn retries_stay_within_the_budget(
         steps in prop::collection::vec(step(16), 1..400),
     ) {
         let mut shares: Vec<RetryShare> =
             (0..16).map(|_| RetryShare::new(BUDGET)).collect();
         let mut now = Millis::new(0);
-        let (mut firsts, mut agains) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for step in steps {
             match step {
                 Step::Pass(ms) => now = now + ms,
-                Step::First(instance) => {
-                    shares[instance].first_send(now);
-                    firsts.push(now);
+                Step::Request(instance) => {
+                    shares[instance].record_request(now);
+                    requests.push(now);
                 }
-                Step::Again(instance) => {
-                    if shares[instance].try_again(now) {
-                        agains.push(now);
+                Step::Retry(instance) => {
+                    if shares[instance].try_retry(now) {
+                        retries.push(now);
                     }
                 }
             }
@@ -56,27 +57,27 @@
                 times.iter().filter(young).count()
             };
             #[allow(clippy::cast_precision_loss)]
-            let allowed = within(&firsts) as f64 * 0.2 + 54.0;
+            let allowed = within(&requests) as f64 * 0.2 + 54.0;
             #[allow(clippy::cast_precision_loss)]
-            let used = within(&agains) as f64;
+            let used = within(&retries) as f64;
             prop_assert!(used <= allowed, "{used} of {allowed}");
         }
     }
 }
 
-/// The slack was divided among 16 while 63 gateways sent: together they could
-/// use 2.4 times of it.
+/// The slack was divided among 16 instances although 63 gateways were sending:
+/// together the gateways could use 2.4 times the slack.
 #[gtest]
-fn more_instances_than_were_expected_share_the_slack_too() {
+fn more_instances_than_configured_share_the_slack() {
     let now = Millis::new(0);
     let used: usize = (0..63)
         .map(|_| {
             let mut share = RetryShare::new(BUDGET);
-            share.seen_instances(63);
-            // One that is cut off sees fewer.
-            share.seen_instances(2);
-            share.first_send(now);
-            (0..10).filter(|_| share.try_again(now)).count()
+            share.observe_instances(63);
+            // An instance that is cut off sees fewer.
+            share.observe_instances(2);
+            share.record_request(now);
+            (0..10).filter(|_| share.try_retry(now)).count()
         })
         .sum();
     #[allow(clippy::cast_precision_loss)]
@@ -85,11 +86,11 @@
 }
 
 #[gtest]
-fn an_instance_alone_can_send_again() {
+fn a_single_instance_can_retry() {
     let mut share = RetryShare::new(BUDGET);
     let now = Millis::new(0);
-    expect_true!(share.try_again(now));
-    expect_true!(share.try_again(now));
-    expect_false!(share.try_again(now));
-    expect_true!(share.try_again(now + 10_000));
+    expect_true!(share.try_retry(now));
+    expect_true!(share.try_retry(now));
+    expect_false!(share.try_retry(now));
+    expect_true!(share.try_retry(now + 10_000));
 }
--- a/crates/valehold-core/src/fleet/tests/slot_time.rs
+++ b/crates/valehold-core/src/fleet/tests/slot_time.rs
@@ -1,4 +1,4 @@
-//! For how long requests keep a slot is learned from few of them.
+//! Tests that slot times are learned from few requests.
 
 use googletest::prelude::*;
 
@@ -7,13 +7,13 @@
 fn learned(model: &ModelName, each_ms: f64, count: u64) -> SlotTimes {
     let mut times = SlotTimes::default();
     for number in 0..count {
-        times.note(model, each_ms, Millis::new(number * 100));
+        times.record(model, each_ms, Millis::new(number * 100));
     }
     times
 }
 
 #[gtest]
-fn what_was_seen_replaces_what_is_taken_at_first() {
+fn observations_replace_the_initial_slot_time() {
     let large = ModelName::new("large");
     let now = Millis::new(5_000);
     let none = SlotTimes::default().expected_ms(&large, now);
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn a_model_that_was_not_seen_is_like_the_others() {
+fn a_model_without_observations_gets_the_overall_mean() {
     let times = learned(&ModelName::new("large"), 2_000.0, 50);
     let other = ModelName::new("other");
     let expected = times.expected_ms(&other, Millis::new(5_000));
@@ -31,11 +31,11 @@
 }
 
 #[gtest]
-fn a_fast_model_is_told_from_the_others() {
+fn a_fast_model_is_distinguished_from_the_others() {
     let (large, small) = (ModelName::new("large"), ModelName::new("small"));
     let mut times = learned(&large, 2_000.0, 50);
     for number in 50..80 {
-        times.note(&small, 250.0, Millis::new(number * 100));
+        times.record(&small, 250.0, Millis::new(number * 100));
     }
     let now = Millis::new(8_000);
     expect_that!(times.expected_ms(&small, now), lt(500.0));
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn what_was_seen_long_ago_counts_for_little() {
+fn old_observations_count_for_little() {
     let large = ModelName::new("large");
     let times = learned(&large, 2_000.0, 5);
     let late = times.expected_ms(&large, Millis::new(200_000));
--- a/crates/valehold-core/src/fleet/tests/topology.rs
+++ b/crates/valehold-core/src/fleet/tests/topology.rs
@@ -1,4 +1,4 @@
-//! How far data centres are from one another.
+//! Tests the distances between data centres.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -22,37 +22,37 @@
 }
 
 #[gtest]
-fn a_data_centre_is_near_by_its_region() {
+fn the_distance_follows_from_the_regions() {
     let declared =
         [("n1", "north"), ("n2", "north"), ("s1", "south"), ("s2", "south")];
-    let seen = topology("n1", &declared);
-    expect_that!(distance(&seen, "n1"), eq(Distance::SameDataCentre));
-    expect_that!(distance(&seen, "n2"), eq(Distance::SameRegion));
-    expect_that!(distance(&seen, "s1"), eq(Distance::Elsewhere));
-    expect_that!(seen.own_region(), some(eq(&RegionId::new("north"))));
+    let local = topology("n1", &declared);
+    expect_that!(distance(&local, "n1"), eq(Distance::SameDataCentre));
+    expect_that!(distance(&local, "n2"), eq(Distance::SameRegion));
+    expect_that!(distance(&local, "s1"), eq(Distance::Elsewhere));
+    expect_that!(local.own_region(), some(eq(&RegionId::new("north"))));
 }
 
 #[gtest]
-fn a_data_centre_of_no_declared_region_is_elsewhere() {
-    let seen = topology("n1", &[("n1", "north")]);
-    expect_that!(distance(&seen, "x1"), eq(Distance::Elsewhere));
-    expect_that!(seen.region_of(&DataCentreId::new("x1")), none());
-    // Two whose regions are both unknown do not share one.
-    let lost = topology("x1", &[("n1", "north")]);
-    expect_that!(distance(&lost, "x2"), eq(Distance::Elsewhere));
-    expect_that!(distance(&lost, "x1"), eq(Distance::SameDataCentre));
+fn a_data_centre_without_a_declared_region_is_elsewhere() {
+    let local = topology("n1", &[("n1", "north")]);
+    expect_that!(distance(&local, "x1"), eq(Distance::Elsewhere));
+    expect_that!(local.region_of(&DataCentreId::new("x1")), none());
+    // Two data centres of unknown regions do not share a region.
+    let undeclared = topology("x1", &[("n1", "north")]);
+    expect_that!(distance(&undeclared, "x2"), eq(Distance::Elsewhere));
+    expect_that!(distance(&undeclared, "x1"), eq(Distance::SameDataCentre));
 }
 
 #[gtest]
-fn without_regions_all_data_centres_stand_in_one() {
-    let seen = topology("n1", &[]);
-    expect_that!(distance(&seen, "n1"), eq(Distance::SameDataCentre));
-    expect_that!(distance(&seen, "x1"), eq(Distance::SameRegion));
-    expect_that!(seen.own_region(), none());
+fn without_regions_all_data_centres_share_one() {
+    let local = topology("n1", &[]);
+    expect_that!(distance(&local, "n1"), eq(Distance::SameDataCentre));
+    expect_that!(distance(&local, "x1"), eq(Distance::SameRegion));
+    expect_that!(local.own_region(), none());
 }
 
 #[gtest]
-fn the_nearer_distance_is_the_lesser() {
+fn a_nearer_distance_is_less() {
     expect_that!(Distance::SameDataCentre, lt(Distance::SameRegion));
     expect_that!(Distance::SameRegion, lt(Distance::Elsewhere));
 }
@@ -60,7 +60,8 @@
 proptest! {
     #![proptest_config(cases())]
 
-    /// Six data centres, each in one of three regions or in none declared.
+    /// Six data centres each belong to one of three regions or to no declared
+    /// region.
     #[test]
     fn both_ends_agree_on_their_distance(
         places in prop::collection::vec(prop::option::of(0..3_u8), 6),
@@ -72,10 +73,10 @@
             Some((name(number), RegionId::new(format!("r{}", (*place)?))))
         });
         let regions: std::collections::BTreeMap<_, _> = regions.collect();
-        let there = Topology::new(name(from), regions.clone());
-        let back = Topology::new(name(to), regions.clone());
-        let distance = there.distance(&name(to));
-        prop_assert_eq!(distance, back.distance(&name(from)));
+        let forward = Topology::new(name(from), regions.clone());
+        let backward = Topology::new(name(to), regions.clone());
+        let distance = forward.distance(&name(to));
+        prop_assert_eq!(distance, backward.distance(&name(from)));
         let shares_region =
             places[from].is_some() && places[from] == places[to];
         let expected = match (from == to, regions.is_empty()) {
--- a/crates/valehold-core/src/fleet/topology.rs
+++ b/crates/valehold-core/src/fleet/topology.rs
@@ -1,4 +1,4 @@
-//! Which region each data centre belongs to, and how far apart two are.
+//! The regions of the data centres, and the distances between data centres.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 
 use crate::id::{DataCentreId, RegionId};
 
-/// How far a data centre is, the nearest first.
+/// The distance of a data centre from the local one, the nearest first.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum Distance {
-    /// It is this one.
+    /// The local data centre.
     SameDataCentre,
-    /// It is another one of the same region.
+    /// Another data centre of the same region.
     SameRegion,
-    /// It is in another region, or nothing says where it is.
+    /// A data centre of another region or of an unknown region.
     Elsewhere,
 }
 
-/// The data centres and their regions, seen from one of them.
+/// The data centres and their regions, relative to the local data centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Topology {
     own: DataCentreId,
@@ -27,7 +27,7 @@
 }
 
 impl Topology {
-    /// Makes the topology seen from a data centre.
+    /// Creates the topology relative to the data centre `own`.
     pub fn new(
         own: DataCentreId,
         regions: BTreeMap<DataCentreId, RegionId>,
@@ -35,25 +35,27 @@
         Self { own, regions }
     }
 
-    /// Returns the data centre from which it is seen.
+    /// Returns the local data centre.
     pub fn own(&self) -> &DataCentreId {
         &self.own
     }
 
-    /// Returns the region of a data centre, if it is known.
+    /// Returns the region of a data centre, or `None` if no region is declared
+    /// for the data centre.
     pub fn region_of(&self, data_centre: &DataCentreId) -> Option<&RegionId> {
         self.regions.get(data_centre)
     }
 
-    /// Returns the region from which it is seen, if it is known.
+    /// Returns the region of the local data centre, or `None` if no region is
+    /// declared for it.
     pub fn own_region(&self) -> Option<&RegionId> {
         self.region_of(&self.own)
     }
 
-    /// Returns how far a data centre is from here.
+    /// Returns the distance of a data centre from the local one.
     ///
-    /// Where no regions are declared at all, every data centre is taken to
-    /// stand in the same one.
+    /// If no regions are declared at all, all data centres count as belonging
+    /// to the same region.
     pub fn distance(&self, data_centre: &DataCentreId) -> Distance {
         if *data_centre == self.own {
             return Distance::SameDataCentre;
--- a/crates/valehold-gateway/examples/fleet_costs.rs
+++ b/crates/valehold-gateway/examples/fleet_costs.rs
@@ -16,7 +16,7 @@
     Millis,
     fleet::{
         Holding, KnownUpstreams, Listing, ListingDelta, Upstream,
-        UpstreamStart, paces::PaceNews,
+        UpstreamStart, paces::PaceUpdate,
     },
     id::{DataCentreId, InstanceId, ModelName, ServiceName, UpstreamId},
 };
@@ -223,7 +223,7 @@
         let mut told = ToldSums::default();
         let loads = told.news(&self.loads(), MOST_SUMS);
         let number = WordNumber { start: 1, sequence: 1_000 };
-        let paces = PaceNews::default();
+        let paces = PaceUpdate::default();
         let news = HubNews { number, loads, rulings: None, paces };
         bytes_of(&Message::HubNews(news)) as f64
     }
--- a/crates/valehold-gateway/src/control/paces.rs
+++ b/crates/valehold-gateway/src/control/paces.rs
@@ -7,7 +7,9 @@
 
 use valehold_core::{
     Millis,
-    fleet::paces::{PaceBook, PaceNews, PaceObservation, ToldPaces},
+    fleet::paces::{
+        AdvertisedPaces, PaceEstimator, PaceObservation, PaceUpdate,
+    },
 };
 
 use super::Control;
@@ -15,8 +17,8 @@
 /// What control keeps of engines' and models' paces.
 #[derive(Debug, Default)]
 pub(super) struct PaceDuty {
-    book: PaceBook,
-    told: ToldPaces,
+    book: PaceEstimator,
+    told: AdvertisedPaces,
 }
 
 impl Control {
@@ -40,20 +42,20 @@
 
     /// As one that hears all others of its group, returns what is new of what
     /// was learned, and lets traffic go by it.
-    pub(super) fn pace_news(&mut self, now: Millis) -> PaceNews {
+    pub(super) fn pace_news(&mut self, now: Millis) -> PaceUpdate {
         let own = self.shared.take_seen_paces();
         self.learn_paces(&own, now);
-        self.paces.book.sweep(now);
+        self.paces.book.prune(now);
         let paces = self.paces.book.paces(now);
-        let news = self.paces.told.news(paces, now);
+        let news = self.paces.told.next_update(paces, now);
         self.hear_paces(&news, now);
         news
     }
 
     /// Lets traffic go by what a hub learned.
-    pub(super) fn hear_paces(&mut self, news: &PaceNews, now: Millis) {
+    pub(super) fn hear_paces(&mut self, news: &PaceUpdate, now: Millis) {
         let mut paces = (*self.shared.paces.load_full()).clone();
-        paces.hear(news);
+        paces.apply(news);
         // This gateway may be a hub later.
         self.paces.book.adopt(&paces, now);
         self.shared.paces.store(Arc::new(paces));
--- a/crates/valehold-gateway/src/peers/message.rs
+++ b/crates/valehold-gateway/src/peers/message.rs
@@ -15,7 +15,7 @@
         UpstreamStart, Variant,
         cold::{PermitReply, PermitRequest},
         crashes::CrashWords,
-        paces::{PaceNews, PaceObservation},
+        paces::{PaceObservation, PaceUpdate},
         upstream_limit::LimitReport,
         usage::{Rulings, UsageTotal},
     },
@@ -407,7 +407,7 @@
     /// What is ruled of workspaces' limits, as in a summary.
     pub rulings: Option<Rulings>,
     /// What was learned of engines and models.
-    pub paces: PaceNews,
+    pub paces: PaceUpdate,
 }
 
 /// The newest version of something that is heard of.
--- a/crates/valehold-gateway/src/settings.rs
+++ b/crates/valehold-gateway/src/settings.rs
@@ -6,8 +6,8 @@
 use valehold_core::{
     admission::AdmissionSettings,
     fleet::{
-        cold::ColdBound, share::RetryBudget, usage::LimitSettings,
-        ways::DistanceSettings,
+        cold::ColdBound, path_cost::DistanceSettings,
+        retry_share::RetryBudget, usage::LimitSettings,
     },
     id::{DataCentreId, InstanceId, RegionId},
     routing::RoutingSettings,
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -187,7 +187,7 @@
                     app.note_pace(chosen, &variant.model, took_ms);
                 }
                 app.observe(start, |pace, now| {
-                    pace.began(took_ms, chosen.usual_ms, now);
+                    pace.observe(took_ms, chosen.usual_ms, now);
                 });
                 app.hints().note(start, &chosen.blocks, app.now());
                 Ok(Passable::Stream { head, relay })
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -14,10 +14,10 @@
         health::Health,
         pace::Pace,
         paces::{LogRatio, PaceObservation},
-        share::RetryShare,
+        path_cost::{PathCost, PathLatencies},
+        retry_share::RetryShare,
         slot_time::SlotTimes,
         turned_away::{TurnedAway, TurnedAwayMemory},
-        ways::{Way, Ways},
     },
     id::{DataCentreId, ModelName, ServiceName, UpstreamId},
     prefix::PrefixHints,
@@ -51,7 +51,7 @@
     hints: RefCell<PrefixHints<UpstreamStart>>,
     turned_away: RefCell<TurnedAwayMemory>,
     slot_times: RefCell<SlotTimes>,
-    ways: RefCell<Ways>,
+    ways: RefCell<PathLatencies>,
 }
 
 impl App {
@@ -140,7 +140,7 @@
         self.shared.note_pace(PaceObservation {
             engine: chosen.upstream.start().tag(),
             model: model.tag(),
-            took: LogRatio::from_ln(against_all.ln()),
+            ratio: LogRatio::from_ln(against_all.ln()),
         });
     }
 
@@ -148,7 +148,7 @@
     pub(super) fn note_slot_time(&self, model: &ModelName, took_ms: f64) {
         let now = self.now();
         if self.mechanisms().learned_slot_times {
-            self.slot_times.borrow_mut().note(model, took_ms, now);
+            self.slot_times.borrow_mut().record(model, took_ms, now);
         }
     }
 
@@ -160,14 +160,14 @@
     /// Notes how long a connection to a data centre took to be made.
     pub(super) fn note_connected(&self, to: &DataCentreId, took: Duration) {
         let took_ms = took.as_secs_f64() * 1_000.0;
-        self.ways.borrow_mut().note(to, took_ms);
+        self.ways.borrow_mut().record(to, took_ms);
     }
 
     /// Returns the way to a data centre, as far as connections showed it.
-    pub(super) fn way_to(&self, data_centre: &DataCentreId) -> Way {
+    pub(super) fn way_to(&self, data_centre: &DataCentreId) -> PathCost {
         let shared = &self.shared;
         let ways = self.ways.borrow();
-        ways.to(data_centre, &shared.topology, &shared.settings.distance)
+        ways.cost_to(data_centre, &shared.topology, &shared.settings.distance)
     }
 
     /// Forgets starts of upstreams that are over.
@@ -179,7 +179,7 @@
         self.health.borrow_mut().retain(|id, _| known(id));
         self.paces.borrow_mut().retain(|id, _| known(id));
         self.turned_away.borrow_mut().sweep(known, now);
-        self.slot_times.borrow_mut().sweep(now);
+        self.slot_times.borrow_mut().prune(now);
         let is_listed = |id: &UpstreamId| listing.upstreams.contains_key(id);
         self.shared.cold().prune(is_listed, now);
         self.shared.rests().sweep(known, now);
@@ -234,21 +234,21 @@
     /// Notes a request's first send to a service.
     pub(super) fn first_send(&self, service: &ServiceName) {
         let now = self.now();
-        self.with_share(service, |share| share.first_send(now));
+        self.with_share(service, |share| share.record_request(now));
     }
 
     /// Takes a second send out of this gateway's share.
     pub(super) fn may_send_again(&self, service: &ServiceName) -> bool {
         let now = self.now();
         self.mechanisms().second_sends
-            && self.with_share(service, |share| share.try_again(now))
+            && self.with_share(service, |share| share.try_retry(now))
     }
 
     /// Tells whether a second send is left in this gateway's share.
     pub(super) fn can_send_again(&self, service: &ServiceName) -> bool {
         let now = self.now();
         self.mechanisms().second_sends
-            && self.with_share(service, |share| share.can_again(now))
+            && self.with_share(service, |share| share.can_retry(now))
     }
 
     fn with_share<T>(
@@ -262,7 +262,7 @@
         let share = shares
             .entry(service.clone())
             .or_insert_with(|| RetryShare::new(budget));
-        share.seen_instances(u32::try_from(seen).unwrap_or(u32::MAX));
+        share.observe_instances(u32::try_from(seen).unwrap_or(u32::MAX));
         act(share)
     }
 
--- a/crates/valehold-gateway/tests/peer_bytes.rs
+++ b/crates/valehold-gateway/tests/peer_bytes.rs
@@ -9,7 +9,7 @@
 };
 use valehold_core::{
     Millis,
-    fleet::{Listing, UpstreamStart, paces::PaceNews},
+    fleet::{Listing, UpstreamStart, paces::PaceUpdate},
     id::{DataCentreId, InstanceId, UpstreamId},
 };
 use valehold_gateway::{
@@ -143,7 +143,7 @@
             number,
             loads: news.clone(),
             rulings: None,
-            paces: PaceNews::default(),
+            paces: PaceUpdate::default(),
         }),
         Message::GroupLoads(GroupLoads {
             instance: InstanceId::new("g2"),
--- a/crates/valehold-gateway/tests/roster.rs
+++ b/crates/valehold-gateway/tests/roster.rs
@@ -6,7 +6,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        RegionBound, UpstreamStart, Variant, paces::PaceNews,
+        RegionBound, UpstreamStart, Variant, paces::PaceUpdate,
         topology::Topology,
     },
     id::{DataCentreId, InstanceId, RegionId, UpstreamId, UpstreamTag},
@@ -596,7 +596,7 @@
                 number: WordNumber { start: 1, sequence: 1 },
                 loads: told.news(&sums, 96),
                 rulings: None,
-                paces: PaceNews::default(),
+                paces: PaceUpdate::default(),
             };
             Message::HubNews(news).encode().unwrap().len()
         });
@@ -728,7 +728,7 @@
         number: WordNumber { start, sequence },
         loads: LoadNews::of_all(loads),
         rulings: None,
-        paces: PaceNews::default(),
+        paces: PaceUpdate::default(),
     })
 }
 
