--- a/crates/valehold-core/examples/cold_rates.rs
+++ b/crates/valehold-core/examples/cold_rates.rs
@@ -155,8 +155,8 @@
     }
 }
 
-/// Policy `told`: each gateway advertises what it sent, and sends while the sum
-/// is below the rated load.
+/// Policy `told`: each gateway advertises what it sent, and sends while the
+/// sum is below the rated load.
 struct Advertised {
     sent: Vec<VecDeque<(u64, usize)>>,
 }
--- a/crates/valehold-core/src/fleet/cold/grantor.rs
+++ b/crates/valehold-core/src/fleet/cold/grantor.rs
@@ -206,8 +206,8 @@
         !is_stalled && self.is_grantor(upstream, now)
     }
 
-    /// Removes the token buckets that were not used for
-    /// [`LIMITED_RETENTION_MS`], and the windows that contain no permit.
+    /// Removes the token buckets without a recent permit request, and the
+    /// windows that contain no permit.
     pub fn prune(&mut self, now: Millis) {
         self.limited.retain(|_, one| {
             now.since(one.requested_at) < LIMITED_RETENTION_MS
--- a/crates/valehold-core/src/fleet/cold/mod.rs
+++ b/crates/valehold-core/src/fleet/cold/mod.rs
@@ -47,7 +47,7 @@
     /// The factor by which the requests in any one second may exceed
     /// [`ColdSpec::bears_per_second`].
     pub overshoot: f64,
-    /// The number of requests allowed in any one second in addition.
+    /// The number of requests allowed in any one second beyond that.
     pub slack: f64,
 }
 
--- a/crates/valehold-core/src/fleet/evacuation.rs
+++ b/crates/valehold-core/src/fleet/evacuation.rs
@@ -8,8 +8,8 @@
 //! applies.
 //!
 //! A set with version V contains the orders that applied when the store was at
-//! V. A full read has the store's version at the time of the read, a change has
-//! the version of its row. A set that another gateway read later therefore
+//! V. A full read has the store's version at the time of the read, a change
+//! has the version of its row. A set that another gateway read later therefore
 //! replaces a set that was built from changes, and the other way round.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,8 +22,8 @@
     id::{DataCentreId, RegionId, ServiceName},
 };
 
-/// The time for which the cancellation of an order is remembered, in ms: longer
-/// than any upstream is cold after a start.
+/// The time for which the cancellation of an order is remembered, in ms:
+/// longer than any upstream is cold after a start.
 const CANCELLED_RETENTION_MS: u64 = 600_000;
 
 /// The time for which an order is held that is missing after the store was
@@ -112,9 +112,9 @@
 /// The orders known to one gateway, with the times at which they take effect
 /// by the gateway's own clock.
 ///
-/// Until the gateway receives a first set of orders, which may be an empty set,
-/// every data centre counts as evacuated. Otherwise a gateway that has just
-/// started could send requests to an evacuated data centre.
+/// Until the gateway receives a first set of orders, which may be an empty
+/// set, every data centre counts as evacuated. Otherwise a gateway that has
+/// just started could send requests to an evacuated data centre.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EvacuationState {
     orders: Option<Evacuations>,
@@ -162,8 +162,8 @@
         ordered.filter(|one| self.is_evacuated(one, now)).cloned().collect()
     }
 
-    /// Reports whether any data centre is ordered to be evacuated, or no set of
-    /// orders was received yet.
+    /// Reports whether any data centre is ordered to be evacuated, or no set
+    /// of orders was received yet.
     pub fn any_evacuating(&self) -> bool {
         let orders = self.orders.as_ref();
         orders.is_none_or(|orders| !orders.data_centres.is_empty())
@@ -202,13 +202,13 @@
         Some(now.since(*at))
     }
 
-    /// Replaces the orders by a newer set. Returns the difference, or `None` if
-    /// the set is not newer than the known one.
+    /// Replaces the orders by a newer set. Returns the difference, or `None`
+    /// if the set is not newer than the known one.
     ///
     /// Orders come into force after `within_ms`. The orders of the first
     /// received set are in force at once, as they may have applied for any
     /// time. An order that is missing after the store was restored from a copy
-    /// is held for [`HOLD_MS`].
+    /// is held for 10 seconds.
     pub fn update(
         &mut self,
         orders: Evacuations,
@@ -275,8 +275,8 @@
 /// Returns the services whose upstreams are all in the data centres
 /// `evacuated`.
 ///
-/// Where regions are declared, each region is checked by itself, since requests
-/// may be bound to a region. Upstreams that are leaving do not count.
+/// Where regions are declared, each region is checked by itself, since
+/// requests may be bound to a region. Upstreams that are leaving do not count.
 pub fn services_without_upstreams(
     listing: &Listing,
     evacuated: &BTreeSet<DataCentreId>,
--- a/crates/valehold-core/src/fleet/event.rs
+++ b/crates/valehold-core/src/fleet/event.rs
@@ -42,8 +42,8 @@
     ///
     /// # Errors
     ///
-    /// If the buffer exceeds the maximum size of an event and contains no whole
-    /// event.
+    /// If the buffer exceeds the maximum size of an event and contains no
+    /// whole event.
     pub fn next_event(&mut self) -> Result<Option<Event>, EventTooLong> {
         let Some(length) = self.event_length() else {
             return match self.pending.len() > MAX_EVENT_BYTES {
@@ -114,8 +114,8 @@
 }
 
 impl EventOrder {
-    /// Creates the order of a stream that continues after event `last`, or that
-    /// starts at the beginning if the caller has no event yet.
+    /// Creates the order of a stream that continues after event `last`, or
+    /// that starts at the beginning if the caller has no event yet.
     pub fn after(last: Option<u64>) -> Self {
         Self { last }
     }
@@ -126,11 +126,11 @@
         self.last
     }
 
-    /// Returns the position of an event by its number, and records the event as
-    /// passed on if it is the next one.
+    /// Returns the position of an event by its number, and records the event
+    /// as passed on if it is the next one.
     ///
-    /// The first event may have any number. An event without a number is always
-    /// the next one.
+    /// The first event may have any number. An event without a number is
+    /// always the next one.
     pub fn advance(&mut self, id: Option<u64>) -> EventPosition {
         let Some(id) = id else { return EventPosition::Next };
         match self.last {
--- a/crates/valehold-core/src/fleet/paces.rs
+++ b/crates/valehold-core/src/fleet/paces.rs
@@ -4,9 +4,10 @@
 //! One gateway of many sends an engine a request only now and then. Alone, it
 //! would learn little of an engine before the engine has changed. Each gateway
 //! therefore reports its observations: when a first event arrived, relative to
-//! the time expected if engine and model had the standard pace. The hubs, which
-//! receive all reports, divide each deviation between the engine and the model
-//! ([`PaceEstimator`]), and advertise the estimates ([`Paces`]).
+//! the time expected if engine and model had the standard pace, which is the
+//! same for all engines and models. The hubs, which receive all reports,
+//! divide each deviation between the engine and the model ([`PaceEstimator`]),
+//! and advertise the estimates ([`Paces`]).
 
 use std::collections::BTreeMap;
 
@@ -53,8 +54,8 @@
     pub engine: UpstreamTag,
     /// The model.
     pub model: ModelTag,
-    /// The measured reading time, relative to the time expected at the standard
-    /// pace of engines and models.
+    /// The measured reading time, relative to the time expected at the
+    /// standard pace of engines and models.
     pub ratio: LogRatio,
 }
 
@@ -69,12 +70,14 @@
 }
 
 impl Paces {
-    /// Returns the factor by which an engine takes longer than standard.
+    /// Returns the factor by which an engine takes longer than at the standard
+    /// pace.
     pub fn of_engine(&self, engine: UpstreamTag) -> f64 {
         self.engines.get(&engine).map_or(1.0, |ratio| ratio.ratio())
     }
 
-    /// Returns the factor by which a model takes longer than standard.
+    /// Returns the factor by which a model takes longer than at the standard
+    /// pace.
     pub fn of_model(&self, model: ModelTag) -> f64 {
         self.models.get(&model).map_or(1.0, |ratio| ratio.ratio())
     }
@@ -229,8 +232,8 @@
         }
     }
 
-    /// Adopts the paces that another hub advertised, for engines and models that
-    /// have no estimate here.
+    /// Adopts the paces that another hub advertised, for engines and models
+    /// that have no estimate here.
     pub fn adopt(&mut self, paces: &Paces, now: Millis) {
         let adopted = |ratio: &LogRatio| Estimate {
             ln: ratio.ln(),
@@ -258,8 +261,8 @@
         Paces { engines: engines.collect(), models: models.collect() }
     }
 
-    /// Removes the estimates of engines that have decayed to about the standard
-    /// pace.
+    /// Removes the estimates of engines that have decayed to about the
+    /// standard pace.
     pub fn prune(&mut self, now: Millis) {
         self.engines.retain(|_, estimate| {
             estimate.at(ENGINE_HALF_LIFE_MS, now).ln.abs()
--- a/crates/valehold-core/src/fleet/path_cost.rs
+++ b/crates/valehold-core/src/fleet/path_cost.rs
@@ -1,10 +1,10 @@
 //! The cost of the network path to another data centre for a request.
 //!
-//! The settings give the initial latencies within a region and between regions.
-//! The actual latency of each path is learned from the connections that are
-//! made. In addition to the latency, bytes between data centres have a price.
-//! The price counts like a latency when an upstream is chosen, but is not part
-//! of the predicted latency.
+//! The settings give the initial latencies within a region and between
+//! regions. The actual latency of each path is learned from the connections
+//! that are made. In addition to the latency, bytes between data centres have
+//! a price. The price counts like a latency when an upstream is chosen, but is
+//! not part of the predicted latency.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,8 @@
 use super::topology::{Distance, Topology};
 use crate::id::DataCentreId;
 
-/// The costs of distances: the initial latencies of the paths and the prices of
-/// bytes.
+/// The costs of distances: the initial latencies of the paths and the prices
+/// of bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DistanceSettings {
@@ -22,8 +22,8 @@
     pub within_region_ms: f64,
     /// The one-way latency between regions, in ms.
     pub between_regions_ms: f64,
-    /// The price of sending the bytes of a request to another data centre of the
-    /// region, as the equivalent waiting time of the caller in ms.
+    /// The price of sending the bytes of a request to another data centre of
+    /// the region, as the equivalent waiting time of the caller in ms.
     pub bytes_within_region_ms: f64,
     /// The price of sending the bytes of a request to another region, as the
     /// equivalent waiting time of the caller in ms.
@@ -94,8 +94,8 @@
 /// is more reliable.
 const DECREASE_WEIGHT: f64 = 0.5;
 
-/// The weight of a new observation that is longer than the estimate. A path that
-/// became slower is recognised after some dozens of connections.
+/// The weight of a new observation that is longer than the estimate. A path
+/// that became slower is recognised after some dozens of connections.
 const INCREASE_WEIGHT: f64 = 0.05;
 
 /// The latencies of the network paths to data centres, as measured by
@@ -106,8 +106,8 @@
 }
 
 impl PathLatencies {
-    /// Records how long a connection to a data centre took to be made, in ms: one
-    /// round trip plus the processing time of both ends.
+    /// Records how long a connection to a data centre took to be made, in ms:
+    /// one round trip plus the processing time of both ends.
     pub fn record(&mut self, to: &DataCentreId, took_ms: f64) {
         let Some(known) = self.connect_ms.get_mut(to) else {
             self.connect_ms.insert(to.clone(), took_ms);
--- a/crates/valehold-core/src/fleet/retry_share.rs
+++ b/crates/valehold-core/src/fleet/retry_share.rs
@@ -14,7 +14,7 @@
 pub struct RetryBudget {
     /// The number of retries allowed per request.
     pub ratio: f64,
-    /// The number of retries allowed in a window in addition.
+    /// The number of retries allowed in a window beyond the ratio.
     pub slack: f64,
     /// The length of the window, in ms.
     pub window_ms: u64,
@@ -22,12 +22,12 @@
     pub instances: u32,
 }
 
-/// The fraction of the ratio that is used. The windows in which the whole budget
-/// is checked start at other times than the windows of an instance.
+/// The fraction of the ratio that is used. The windows in which the budget of
+/// all instances is checked start at other times than those of an instance.
 const RATIO_FRACTION: f64 = 0.7;
 
-/// The fraction of the slack that is used. A restarted instance loses the count
-/// of its retries, so the remainder is reserved for restarts.
+/// The fraction of the slack that is used. A restarted instance loses the
+/// count of its retries, so the remainder is reserved for restarts.
 const SLACK_FRACTION: f64 = 0.6;
 
 /// The share of one instance in the retry budget of one service.
--- a/crates/valehold-core/src/fleet/slot_time.rs
+++ b/crates/valehold-core/src/fleet/slot_time.rs
@@ -1,10 +1,10 @@
 //! The time for which requests occupy a slot of an engine, as learned by one
 //! gateway.
 //!
-//! One gateway of many sees few requests end at any one engine, but many at overall
-//! engines together. The gateway therefore learns a mean for each model and an
-//! overall mean. The estimate for a model with few observations is drawn
-//! towards the overall mean.
+//! One gateway of many sees few requests end at any one engine, but many at
+//! all engines together. The gateway therefore learns a mean for each model
+//! and an overall mean. The estimate for a model with few observations is
+//! drawn towards the overall mean.
 
 use std::collections::BTreeMap;
 
@@ -77,8 +77,8 @@
         mean.add(took_ms, now);
     }
 
-    /// Returns the expected time for which a request of a model occupies a slot,
-    /// in ms.
+    /// Returns the expected time for which a request of a model occupies a
+    /// slot, in ms.
     pub fn expected_ms(&self, model: &ModelName, now: Millis) -> f64 {
         let prior_ms = self.overall.mean(INITIAL_MS, INITIAL_WEIGHT, now);
         let mean = self.models.get(model).copied().unwrap_or_default();
--- a/crates/valehold-core/src/fleet/tests/cold.rs
+++ b/crates/valehold-core/src/fleet/tests/cold.rs
@@ -311,9 +311,9 @@
 
 impl Gateway {
     fn now(&self, ms: u64) -> Millis {
-        let (from, millionths) = self.clock;
+        let (from, parts_per_million) = self.clock;
         let ms = i64::try_from(ms).unwrap();
-        let drift = ms * millionths / 1_000_000;
+        let drift = ms * parts_per_million / 1_000_000;
         Millis::new(from + u64::try_from(ms + drift).unwrap())
     }
 }
@@ -330,7 +330,8 @@
     messages: BTreeMap<u64, Vec<Message>>,
     sends: Vec<u64>,
     rng: Rng,
-    /// A gateway that uses random member lists and takes each for the majority.
+    /// A gateway that uses random member lists and takes each for the
+    /// majority.
     rogue: Option<usize>,
     loss_percent: u64,
     ms: u64,
@@ -541,8 +542,8 @@
     fleet.run(2_000);
     fleet.sends.clear();
     fleet.run(10_000);
-    // 12 permits in 1.25 s would be 96; one of ten replies takes longer than
-    // most permits are valid.
+    // At 12 permits in 1.25 s, up to 96 are issued in 10 s. One of ten replies
+    // takes longer than most permits are valid.
     expect_that!(fleet.sends.len(), ge(80));
     expect_that!(fleet.max_per_second(), le(12));
 }
@@ -592,8 +593,8 @@
         prop_assert!(max <= 24, "{max}");
     }
 
-    /// One gateway gets random member lists and takes each for the majority, so
-    /// that it acts as a second grantor.
+    /// One gateway gets random member lists and takes each for the majority,
+    /// so that it acts as a second grantor.
     #[test]
     fn a_wrong_second_grantor_stays_within_the_bound(
         seed in any::<u64>(),
@@ -631,12 +632,12 @@
         let own = grantor_of(&all);
         let mut grantor = PermitGrantor::new(own, at(0));
         let (mut now, mut issued) = (0, Vec::new());
-        for (after, members, most, requests) in steps {
+        for (after, members, are_most, requests) in steps {
             now += after;
             let live = (0..3).filter(|one| {
                 address(*one) == own || members & (1 << one) != 0
             });
-            grantor.update_members(&addresses(live), most || members > 3, at(now));
+            grantor.update_members(&addresses(live), are_most || members > 3, at(now));
             for _ in 0..requests {
                 let reply = grantor.answer(&id("e1"), 12, at(now));
                 if reply == PermitReply::Granted {
@@ -653,9 +654,9 @@
     }
 }
 
-/// The grantor of three gateways leaves, returns and leaves again. The test
-/// covers each combination of three delays after which the gateways learn of
-/// the changes.
+/// The grantor of three gateways fails, recovers and fails again. The test
+/// covers each pair of four faults, and each combination of three delays after
+/// which the gateways learn of a change.
 #[gtest]
 fn every_order_of_learning_of_a_change_stays_within_the_bound() {
     const LAGS: [u64; 3] = [0, 400, MAX_LAG_MS];
@@ -673,8 +674,8 @@
         {
             let mut fleet = Fleet::new(3, 0, 5);
             for (index, gateway) in fleet.gateways.iter_mut().enumerate() {
-                let place = lags / 3_usize.pow(index as u32) % 3;
-                gateway.lag_ms = LAGS[place];
+                let digit = lags / 3_usize.pow(index as u32) % 3;
+                gateway.lag_ms = LAGS[digit];
             }
             fleet.run(1_500);
             fleet.inject(grantor, first);
--- a/crates/valehold-core/src/fleet/tests/evacuation.rs
+++ b/crates/valehold-core/src/fleet/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Tests place evacuation orders apply, by their versions and over time.
+//! Tests which evacuation orders apply, by their versions and over time.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -156,9 +156,9 @@
         let names = ["north", "south", "west"];
         let as_of = |version: u64| {
             let mut set = orders(version, &[]);
-            for (index, (place, is_ordered)) in history.iter().enumerate() {
+            for (index, (name_index, is_ordered)) in history.iter().enumerate() {
                 if (index as u64) < version {
-                    let name = dc(names[*place]);
+                    let name = dc(names[*name_index]);
                     match is_ordered {
                         true => set.data_centres.insert(name),
                         false => set.data_centres.remove(&name),
@@ -170,8 +170,8 @@
         let newest = history.len() as u64;
         let mut states = vec![EvacuationState::default(); 4];
         let mut sent: Vec<Evacuations> = Vec::new();
-        for (index, other, reads, moment) in steps {
-            let known = states[index].orders().cloned();
+        for (gateway, other, reads, moment) in steps {
+            let known = states[gateway].orders().cloned();
             let before = known.as_ref().map_or(0, |known| known.version);
             let received = match (reads, known) {
                 (true, None) => as_of(moment.min(newest)),
@@ -180,8 +180,8 @@
                     let from = known.version.saturating_sub(moment % 5);
                     let changes = history.iter().enumerate();
                     let changes = changes
-                        .map(|(index, (place, is_ordered))| {
-                            change(index as u64 + 1, names[*place], *is_ordered)
+                        .map(|(index, (name_index, is_ordered))| {
+                            change(index as u64 + 1, names[*name_index], *is_ordered)
                         })
                         .filter(|c| c.version > from && c.version <= moment);
                     known.with_changes(changes)
@@ -191,8 +191,8 @@
                     None => continue,
                 },
             };
-            states[index].update(received, 1_000, at(moment));
-            let now = states[index].orders().cloned().expect("orders");
+            states[gateway].update(received, 1_000, at(moment));
+            let now = states[gateway].orders().cloned().expect("orders");
             prop_assert!(now.version >= before);
             prop_assert_eq!(&now.data_centres, &as_of(now.version).data_centres);
             sent.push(now);
--- a/crates/valehold-core/src/fleet/tests/paces.rs
+++ b/crates/valehold-core/src/fleet/tests/paces.rs
@@ -29,8 +29,8 @@
     part
 }
 
-/// Engines of three speeds and models of three paces, with the values
-/// of the users' sheet.
+/// Returns the true ratio of an engine and a model: three speeds of engines
+/// and three paces of models, with the values of the users' sheet.
 fn true_ratio(engine: usize, model: usize) -> f64 {
     let speed = [1.0, 1.0, 1.3][engine % 3];
     let pace = [1.0, 0.35, 0.23][model % 3];
--- a/crates/valehold-core/src/fleet/tests/path_cost.rs
+++ b/crates/valehold-core/src/fleet/tests/path_cost.rs
@@ -15,20 +15,20 @@
 /// The processing time of both ends for a connection, in ms.
 const PROCESSING_MS: f64 = 1.5;
 
-fn at(name: &str) -> DataCentreId {
+fn dc(name: &str) -> DataCentreId {
     DataCentreId::new(name)
 }
 
 fn topology() -> Topology {
     let regions = [("n1", "north"), ("n2", "north"), ("s1", "south")];
     let regions = regions
-        .map(|(data_centre, region)| (at(data_centre), RegionId::new(region)));
-    Topology::new(at("n1"), regions.into())
+        .map(|(data_centre, region)| (dc(data_centre), RegionId::new(region)));
+    Topology::new(dc("n1"), regions.into())
 }
 
 fn round_trip_ms(latencies: &PathLatencies, to: &str) -> f64 {
     let settings = DistanceSettings::default();
-    latencies.cost_to(&at(to), &topology(), &settings).round_trip_ms
+    latencies.cost_to(&dc(to), &topology(), &settings).round_trip_ms
 }
 
 #[gtest]
@@ -39,15 +39,15 @@
     expect_that!(round_trip_ms(&latencies, "s1"), eq(20.0));
 }
 
-/// Each path to another data centre once counted as 4 ms, even a path to another
-/// region with a round-trip time of 24 ms.
+/// Each path to another data centre once counted as 4 ms, even a path to
+/// another region with a round-trip time of 24 ms.
 #[gtest]
 fn the_cost_of_another_region_includes_the_full_round_trip() {
     let mut latencies = PathLatencies::default();
     for _ in 0..4 {
-        latencies.record(&at("n1"), PROCESSING_MS);
-        latencies.record(&at("n2"), PROCESSING_MS + 2.8);
-        latencies.record(&at("s1"), PROCESSING_MS + 24.0);
+        latencies.record(&dc("n1"), PROCESSING_MS);
+        latencies.record(&dc("n2"), PROCESSING_MS + 2.8);
+        latencies.record(&dc("s1"), PROCESSING_MS + 24.0);
     }
     expect_that!(round_trip_ms(&latencies, "n1"), eq(0.0));
     expect_that!(round_trip_ms(&latencies, "n2"), near(2.8, 0.01));
@@ -58,13 +58,13 @@
 fn one_slow_connection_changes_little() {
     let mut latencies = PathLatencies::default();
     for _ in 0..10 {
-        latencies.record(&at("n1"), PROCESSING_MS);
-        latencies.record(&at("n2"), PROCESSING_MS + 2.8);
+        latencies.record(&dc("n1"), PROCESSING_MS);
+        latencies.record(&dc("n2"), PROCESSING_MS + 2.8);
     }
-    latencies.record(&at("n2"), 100.0);
+    latencies.record(&dc("n2"), 100.0);
     expect_that!(round_trip_ms(&latencies, "n2"), lt(8.0));
     for _ in 0..4 {
-        latencies.record(&at("n2"), PROCESSING_MS + 2.8);
+        latencies.record(&dc("n2"), PROCESSING_MS + 2.8);
     }
     expect_that!(round_trip_ms(&latencies, "n2"), lt(3.2));
 }
@@ -72,9 +72,9 @@
 #[gtest]
 fn the_estimate_recovers_soon_from_a_slow_first_connection() {
     let mut latencies = PathLatencies::default();
-    latencies.record(&at("s1"), 300.0);
+    latencies.record(&dc("s1"), 300.0);
     for _ in 0..8 {
-        latencies.record(&at("s1"), 24.0);
+        latencies.record(&dc("s1"), 24.0);
     }
     expect_that!(round_trip_ms(&latencies, "s1"), lt(26.0));
 }
@@ -101,7 +101,7 @@
     ) {
         let mut latencies = PathLatencies::default();
         for one in &took {
-            latencies.record(&at("s1"), *one);
+            latencies.record(&dc("s1"), *one);
         }
         let known = round_trip_ms(&latencies, "s1");
         let least = took.iter().copied().fold(f64::INFINITY, f64::min);
--- a/crates/valehold-core/src/fleet/tests/upstream_limit.rs
+++ b/crates/valehold-core/src/fleet/tests/upstream_limit.rs
@@ -115,9 +115,9 @@
 proptest! {
     #![proptest_config(cases())]
 
-    /// Reports are lost, delayed and duplicated. Once all reports have arrived,
-    /// all gateways record the same limit; once each gateway has also received
-    /// an answer, that limit is the stated one.
+    /// Reports are lost, delayed and duplicated. Once all reports have
+    /// arrived, all gateways record the same limit; once each gateway has also
+    /// received an answer, that limit is the stated one.
     #[test]
     fn all_gateways_converge_on_the_stated_limit(
         steps in prop::collection::vec(step(), 1..60),
