--- a/crates/valehold-core/examples/cold_rates.rs
+++ b/crates/valehold-core/examples/cold_rates.rs
@@ -141,7 +141,7 @@
             return None;
         }
         let request = permits.request(&id, clock);
-        let target = self.grantors[gateway].grantor(&id)?;
+        let target = self.grantors[gateway].grantor_of(&id)?;
         let index =
             (0..self.grantors.len()).find(|g| address(*g) == target)?;
         let max = BOUND.permits_per_window(&SPEC);
--- a/crates/valehold-core/src/fleet/cold/estimate.rs
+++ b/crates/valehold-core/src/fleet/cold/estimate.rs
@@ -16,7 +16,7 @@
 const COLD_TOLERANCE_MS: u64 = 300;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Cold {
+struct ColdPeriod {
     until: Millis,
     /// An entry received before this time may have been written before the
     /// upstream became cold.
@@ -31,7 +31,7 @@
 /// reports otherwise.
 #[derive(Debug, Clone, Default)]
 pub struct ColdEstimate {
-    cold: BTreeMap<UpstreamId, Cold>,
+    cold: BTreeMap<UpstreamId, ColdPeriod>,
     start_times: BTreeMap<UpstreamId, u64>,
 }
 
@@ -53,7 +53,7 @@
         }
         let until = now + entry.cold_for_ms;
         if entry.cold_for_ms > 0 {
-            let reported = Cold { until, uncertain_until: now };
+            let reported = ColdPeriod { until, uncertain_until: now };
             self.cold.insert(id.clone(), reported);
         } else if has_restarted {
             self.mark_possibly_cold(id, lasts_ms, 0, now);
@@ -78,7 +78,7 @@
         }
         let lag_ms = ENTRY_LAG_MS.saturating_sub(ago_ms);
         let possible =
-            Cold { until: now + left_ms, uncertain_until: now + lag_ms };
+            ColdPeriod { until: now + left_ms, uncertain_until: now + lag_ms };
         let known = self.cold.entry(id.clone()).or_insert(possible);
         known.until = known.until.max(possible.until);
         known.uncertain_until =
--- a/crates/valehold-core/src/fleet/cold/grantor.rs
+++ b/crates/valehold-core/src/fleet/cold/grantor.rs
@@ -47,7 +47,7 @@
     from: Millis,
     /// Each address with its text, which is the key of the rendezvous hash.
     all: Vec<(SocketAddr, String)>,
-    are_most: bool,
+    is_majority: bool,
 }
 
 impl Members {
@@ -94,7 +94,7 @@
     pub fn update_members(
         &mut self,
         all: &[SocketAddr],
-        are_most: bool,
+        is_majority: bool,
         now: Millis,
     ) {
         if now.since(self.updated_at) >= STALL_MS {
@@ -103,13 +103,13 @@
         self.updated_at = now;
         let is_unchanged = self.members.back().is_some_and(|last| {
             let known = last.all.iter().map(|(address, _)| address);
-            last.are_most == are_most && known.eq(all.iter())
+            last.is_majority == is_majority && known.eq(all.iter())
         });
         if is_unchanged {
             return;
         }
         let named = all.iter().map(|one| (*one, one.to_string())).collect();
-        let newest = Members { from: now, all: named, are_most };
+        let newest = Members { from: now, all: named, is_majority };
         self.members.push_back(newest);
         // Of the sets that began `HANDOVER_MS` ago or earlier, only the last
         // one still matters.
@@ -121,7 +121,7 @@
 
     /// Returns the grantor of an upstream among the current members, or `None`
     /// if no members are known.
-    pub fn grantor(&self, upstream: &UpstreamId) -> Option<SocketAddr> {
+    pub fn grantor_of(&self, upstream: &UpstreamId) -> Option<SocketAddr> {
         self.members.back()?.grantor(upstream)
     }
 
@@ -130,7 +130,7 @@
     fn is_grantor(&self, upstream: &UpstreamId, now: Millis) -> bool {
         for members in self.members.iter().rev() {
             let is_own = members.grantor(upstream) == Some(self.own);
-            if !is_own || !members.are_most {
+            if !is_own || !members.is_majority {
                 return false;
             }
             if now.since(members.from) >= HANDOVER_MS {
--- a/crates/valehold-core/src/fleet/evacuation.rs
+++ b/crates/valehold-core/src/fleet/evacuation.rs
@@ -225,11 +225,11 @@
             self.orders = Some(known);
             return None;
         }
-        let beyond = |one: &Evacuations, other: &Evacuations| {
+        let only_in = |one: &Evacuations, other: &Evacuations| {
             one.data_centres.difference(&other.data_centres).cloned().collect()
         };
-        let mut ordered: BTreeSet<DataCentreId> = beyond(&orders, &known);
-        let mut cancelled: BTreeSet<DataCentreId> = beyond(&known, &orders);
+        let mut ordered: BTreeSet<DataCentreId> = only_in(&orders, &known);
+        let mut cancelled: BTreeSet<DataCentreId> = only_in(&known, &orders);
         ordered.retain(|one| !self.held.contains_key(one));
         self.held.retain(|one, _| !orders.is_ordered(one));
         if StoreVersion::is_later_era(orders.version, known.version) {
--- a/crates/valehold-core/src/fleet/tests/cold.rs
+++ b/crates/valehold-core/src/fleet/tests/cold.rs
@@ -60,7 +60,7 @@
 fn grantor_of(all: &[SocketAddr]) -> SocketAddr {
     let mut any = PermitGrantor::new(all[0], at(0));
     any.update_members(all, true, at(0));
-    any.grantor(&id("e1")).unwrap()
+    any.grantor_of(&id("e1")).unwrap()
 }
 
 #[gtest]
@@ -488,7 +488,7 @@
         if self.rng.below(self.gateways.len().max(12) as u64) == 0 {
             let gateway = &mut self.gateways[index];
             let request = gateway.permits.request(&id("e1"), now);
-            let Some(grantor) = gateway.grantor.grantor(&id("e1")) else {
+            let Some(grantor) = gateway.grantor.grantor_of(&id("e1")) else {
                 return;
             };
             let mut all = 0..self.gateways.len();
--- a/crates/valehold-core/src/fleet/upstream_limit.rs
+++ b/crates/valehold-core/src/fleet/upstream_limit.rs
@@ -106,7 +106,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct Entry {
     report: LimitReport,
     /// When an answer or a report last confirmed the recorded report.
     confirmed_at: Millis,
@@ -117,7 +117,7 @@
 /// The limits of upstreams, as recorded by one instance.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamLimits {
-    known: BTreeMap<UpstreamStart, Known>,
+    known: BTreeMap<UpstreamStart, Entry>,
 }
 
 impl UpstreamLimits {
@@ -154,9 +154,9 @@
         }
         let number = self.number(start).saturating_add(1);
         let report = LimitReport { start: start.clone(), number, limit };
-        let known =
-            Known { report: report.clone(), confirmed_at: now, stated_at };
-        self.known.insert(start.clone(), known);
+        let entry =
+            Entry { report: report.clone(), confirmed_at: now, stated_at };
+        self.known.insert(start.clone(), entry);
         Some(report)
     }
 
@@ -176,8 +176,8 @@
         }
         let report = report.clone();
         let start = report.start.clone();
-        let known = Known { report, confirmed_at: now, stated_at: None };
-        self.known.insert(start, known);
+        let entry = Entry { report, confirmed_at: now, stated_at: None };
+        self.known.insert(start, entry);
         LimitMerge::Applied
     }
 
--- a/crates/valehold-gateway/src/control/cold.rs
+++ b/crates/valehold-gateway/src/control/cold.rs
@@ -108,7 +108,7 @@
         let own = self.shared.settings.peers.heartbeats;
         let is_cold = self.shared.cold().estimate.is_cold(&ask.upstream, now);
         let limit = self.limit_of(&ask.upstream);
-        match self.grantor.grantor(&ask.upstream) {
+        match self.grantor.grantor_of(&ask.upstream) {
             Some(grantor) if grantor != own => {
                 let ask = Message::AskRight { ask, is_cold, limit };
                 self.send([grantor], &ask);
