--- a/crates/valehold-gateway/examples/fleet_costs.rs
+++ b/crates/valehold-gateway/examples/fleet_costs.rs
@@ -27,10 +27,10 @@
             GroupLoads, HubNews, Rank, StoreSight, Summary, UpstreamLoad,
         },
         roster::{
-            Own, OwnWord,
-            members::{ToldMembers, most_changes},
-            standing::Member,
-            sums::ToldSums,
+            LocalMember, LocalReport,
+            hierarchy::Member,
+            members::{AdvertisedMembers, max_changes},
+            sums::AdvertisedSums,
         },
         state::PeerState,
     },
@@ -116,9 +116,9 @@
         for other in last + 1 - DATA_CENTRES..last {
             let elsewhere = hub_of_group(other, gateways, now);
             let digest = elsewhere.digest(&heartbeat(other), vec![], now);
-            hub.digest_heard(address(other), digest, now);
+            hub.on_digest(address(other), digest, now);
         }
-        hub.work_out(own_word(last), now);
+        hub.recompute(own_word(last), now);
         let own = heartbeat(last);
         let group = hub.summary_targets().len();
         Self { gateways, upstreams, now, hub, own, group }
@@ -126,12 +126,12 @@
 
     /// Returns what is told and done, by name.
     fn costs(&self) -> Vec<(&'static str, f64)> {
-        let mut told = ToldMembers::default();
-        let members = self.hub.hub_members(&self.own, self.now);
-        let first = told.news(&members, usize::MAX);
+        let mut told = AdvertisedMembers::default();
+        let members = self.hub.members_to_advertise(&self.own, self.now);
+        let first = told.next_update(&members, usize::MAX);
         let whole = Summary {
             members: first,
-            ..self.summary(&mut ToldMembers::default())
+            ..self.summary(&mut AdvertisedMembers::default())
         };
         let calm = bytes_of_summary(self.summary(&mut told));
         let changing = self.changing(&mut told, &members);
@@ -181,30 +181,30 @@
         ]
     }
 
-    fn summary(&self, told: &mut ToldMembers) -> Summary {
-        let members = self.hub.hub_members(&self.own, self.now);
-        let news = told.news(&members, usize::MAX);
-        self.hub.sum_up(&self.own, news, None, self.now)
+    fn summary(&self, told: &mut AdvertisedMembers) -> Summary {
+        let members = self.hub.members_to_advertise(&self.own, self.now);
+        let news = told.next_update(&members, usize::MAX);
+        self.hub.summary(&self.own, news, None, self.now)
     }
 
     /// Returns the bytes of a summary while some gateways change each beat.
     fn changing(
         &self,
-        told: &mut ToldMembers,
+        told: &mut AdvertisedMembers,
         members: &BTreeMap<SocketAddr, Member>,
     ) -> f64 {
         let mut changed = members.clone();
         for member in changed.values_mut().step_by(CHANGES_ONE_IN) {
             member.store = StoreSight::Fails;
         }
-        let most = most_changes(SMALL_LINK_MBPS, BEAT_MS, self.group);
-        let members = told.news(&changed, most);
+        let most = max_changes(SMALL_LINK_MBPS, BEAT_MS, self.group);
+        let members = told.next_update(&changed, most);
         bytes_of_summary(Summary { members, ..self.summary(told) })
     }
 
     /// Returns how long a new hub on a small link takes to tell of so many.
     fn anew_s(&self, gateways: usize) -> f64 {
-        let most = most_changes(SMALL_LINK_MBPS, BEAT_MS, self.group);
+        let most = max_changes(SMALL_LINK_MBPS, BEAT_MS, self.group);
         let beats = gateways.min(self.gateways).div_ceil(most);
         beats as f64 * BEAT_MS as f64 / 1e3
     }
@@ -220,8 +220,8 @@
     }
 
     fn loads_bytes(&self) -> f64 {
-        let mut told = ToldSums::default();
-        let loads = told.news(&self.loads(), MOST_SUMS);
+        let mut told = AdvertisedSums::default();
+        let loads = told.next_update(&self.loads(), MOST_SUMS);
         let number = WordNumber { start: 1, sequence: 1_000 };
         let paces = PaceNews::default();
         let news = HubNews { number, loads, rulings: None, paces };
@@ -229,8 +229,8 @@
     }
 
     fn group_loads_bytes(&self) -> f64 {
-        let mut told = ToldSums::default();
-        let news = told.news(&self.loads(), MOST_SUMS);
+        let mut told = AdvertisedSums::default();
+        let news = told.next_update(&self.loads(), MOST_SUMS);
         let loads = GroupLoads {
             instance: InstanceId::new("edge-north-1"),
             number: WordNumber { start: 1, sequence: 1_000 },
@@ -267,30 +267,30 @@
     }
 
     fn news_us(&self, members: &BTreeMap<SocketAddr, Member>) -> f64 {
-        let mut told = ToldMembers::default();
-        told.news(members, usize::MAX);
+        let mut told = AdvertisedMembers::default();
+        told.next_update(members, usize::MAX);
         mean_us(|| {
-            let members = self.hub.hub_members(&self.own, self.now);
-            black_box(told.news(&members, usize::MAX));
+            let members = self.hub.members_to_advertise(&self.own, self.now);
+            black_box(told.next_update(&members, usize::MAX));
         })
     }
 
     /// Returns how long a gateway takes that hears of all from a hub.
     fn standing_us(&self) -> f64 {
         let mut gateway = roster(0);
-        let summary = self.summary(&mut ToldMembers::default());
-        gateway.summed_up(address(self.gateways - 1), summary, self.now);
+        let summary = self.summary(&mut AdvertisedMembers::default());
+        gateway.on_summary(address(self.gateways - 1), summary, self.now);
         mean_us(|| {
-            black_box(gateway.work_out(own_word(0), self.now));
+            black_box(gateway.recompute(own_word(0), self.now));
         })
     }
 
     fn sums_us(&self) -> f64 {
-        let mut told = ToldSums::default();
+        let mut told = AdvertisedSums::default();
         let loads = self.loads();
-        told.news(&loads, usize::MAX);
+        told.next_update(&loads, usize::MAX);
         mean_us(|| {
-            black_box(told.news(&loads, MOST_SUMS));
+            black_box(told.next_update(&loads, MOST_SUMS));
         })
     }
 
@@ -326,9 +326,9 @@
         *other != number && other % DATA_CENTRES == number % DATA_CENTRES
     });
     for other in of_group {
-        hub.heard(address(other), heartbeat(other), now);
+        hub.on_heartbeat(address(other), heartbeat(other), now);
     }
-    hub.work_out(own_word(number), now);
+    hub.recompute(own_word(number), now);
     hub
 }
 
@@ -369,7 +369,7 @@
 }
 
 fn roster(number: usize) -> Roster {
-    let own = Own {
+    let own = LocalMember {
         heartbeats: address(number),
         state: address(number),
         data_centre: data_centre(number),
@@ -378,8 +378,8 @@
     Roster::new(own, 1_500, [])
 }
 
-fn own_word(number: usize) -> OwnWord {
-    OwnWord {
+fn own_word(number: usize) -> LocalReport {
+    LocalReport {
         requests: requests(number),
         life: Life::Serving,
         store: StoreSight::Answers,
--- a/crates/valehold-gateway/src/control/behind.rs
+++ b/crates/valehold-gateway/src/control/behind.rs
@@ -129,9 +129,9 @@
         let known = self.state_versions();
         let failed = self.behind.failed;
         let catalog =
-            self.roster.with_newer_catalog(known.catalog, failed, now);
+            self.roster.newer_catalog_address(known.catalog, failed, now);
         let listing =
-            self.roster.with_newer_listing(known.listing, failed, now);
+            self.roster.newer_listing_address(known.listing, failed, now);
         let behind = &mut self.behind;
         let wait = |known: u64, wait_ms| if known == 0 { 0 } else { wait_ms };
         let by_catalog = waited(
@@ -160,7 +160,7 @@
     /// Reads the state of a gateway nearby first: where many are behind at
     /// once, few can read from the one that is named as the newest.
     fn read_state(&mut self, newest: SocketAddr, known: StateVersions) {
-        let near = self.roster.near_state(&self.shared.topology);
+        let near = self.roster.nearby_state_address(&self.shared.topology);
         let is_first = self.behind.reads.is_multiple_of(2);
         let peer = match near {
             Some(near) if is_first && self.roster.has_hubs() => near,
--- a/crates/valehold-gateway/src/control/configuring.rs
+++ b/crates/valehold-gateway/src/control/configuring.rs
@@ -7,7 +7,7 @@
 use super::Control;
 use crate::{
     events::{CatalogSource, EmptyBoundPair, Event},
-    peers::{Message, message::StoreSight, roster::Observing},
+    peers::{Message, message::StoreSight, roster::ObserverRole},
 };
 
 /// How many pairs without a common region are named in the log: enough to
@@ -21,9 +21,9 @@
         catalog: Catalog,
         now: Millis,
     ) {
-        let observing = self.roster.observing(self.store);
+        let observing = self.roster.observer_role(self.store);
         let passes_on =
-            observing == Observing::Foremost && self.roster.has_hubs();
+            observing == ObserverRole::Primary && self.roster.has_hubs();
         let message =
             passes_on.then(|| Message::Catalog(Box::new(catalog.clone())));
         if self.configure(catalog, CatalogSource::Store, now)
--- a/crates/valehold-gateway/src/control/crashes.rs
+++ b/crates/valehold-gateway/src/control/crashes.rs
@@ -10,7 +10,7 @@
 use valehold_ports::{PortError, port::fleet::FleetStore};
 
 use super::{Control, input::Input};
-use crate::peers::{message::Message, roster::Observing};
+use crate::peers::{message::Message, roster::ObserverRole};
 
 /// For how long the same requests must have been refused before the store
 /// names them, in ms: what is told by others may speak for one of them.
@@ -80,14 +80,15 @@
         }
         let observes = !matches!(
             self.watch_orders.observing(),
-            Observing::Nothing | Observing::Configuration
+            ObserverRole::Inactive | ObserverRole::ConfigurationOnly
         );
         let looks = self.record.has_seen_crash && !self.limits.hears_most();
         let has_to_read = looks || (!self.record.has_read && observes);
         let (refused, in_vain) = self.unrecorded(now);
         let is_behind = !(refused.is_empty() && in_vain.is_empty());
         let holds = self.lease.borrow().held_epoch(now).is_some();
-        let writes = holds || (observes && self.roster.holder(now).is_none());
+        let writes =
+            holds || (observes && self.roster.lease_holder(now).is_none());
         if has_to_read || (is_behind && writes) {
             self.record.is_calling = true;
             self.record.has_seen_crash = false;
--- a/crates/valehold-gateway/src/control/feeds.rs
+++ b/crates/valehold-gateway/src/control/feeds.rs
@@ -19,7 +19,7 @@
 pub(super) use self::orders::WatchOrders;
 use self::{orders::BETWEEN_CHANGES, pauses::Pauses};
 use super::input::Input;
-use crate::{events::Event, peers::roster::Observing};
+use crate::{events::Event, peers::roster::ObserverRole};
 
 /// How much longer than its span's patience a watch is waited for, whatever
 /// the adapter does.
@@ -43,7 +43,7 @@
     while !inputs.is_closed() {
         let began = Instant::now();
         let news = match after {
-            _ if orders.observing.get() == Observing::Nothing => {
+            _ if orders.observing.get() == ObserverRole::Inactive => {
                 orders.until_turned().await;
                 continue;
             }
--- a/crates/valehold-gateway/src/control/feeds/orders.rs
+++ b/crates/valehold-gateway/src/control/feeds/orders.rs
@@ -5,7 +5,7 @@
 use tokio::sync::Notify;
 use valehold_ports::port::fleet::WatchSpan;
 
-use crate::peers::roster::Observing;
+use crate::peers::roster::ObserverRole;
 
 /// For how long at the most a watch of upstreams waits until the store answers
 /// about the configuration. It then looks itself, as it may be that only the
@@ -26,7 +26,7 @@
     /// this watch.
     pub(in crate::control) known: Cell<u64>,
     /// This gateway's part in watching for those that do not.
-    pub(super) observing: Cell<Observing>,
+    pub(super) observing: Cell<ObserverRole>,
     /// Whether enough others look after the store while it fails.
     pub(in crate::control) others_look: Cell<bool>,
     /// Tells that it has just become an observer.
@@ -45,7 +45,7 @@
     pub(in crate::control) fn new() -> Self {
         Self {
             known: Cell::new(0),
-            observing: Cell::new(Observing::Nothing),
+            observing: Cell::new(ObserverRole::Inactive),
             others_look: Cell::new(false),
             turned: Notify::new(),
             resumed: Notify::new(),
@@ -55,19 +55,21 @@
     }
 
     /// Sets this gateway's part in watching.
-    pub(in crate::control) fn set_observing(&self, observing: Observing) {
+    pub(in crate::control) fn set_observing(&self, observing: ObserverRole) {
         let before = self.observing.replace(observing);
-        let watches_long =
-            matches!(before, Observing::Nothing | Observing::Configuration);
+        let watches_long = matches!(
+            before,
+            ObserverRole::Inactive | ObserverRole::ConfigurationOnly
+        );
         let is_to_look =
-            matches!(observing, Observing::Reserve | Observing::Foremost);
+            matches!(observing, ObserverRole::Standby | ObserverRole::Primary);
         if watches_long && is_to_look {
             self.turned.notify_one();
         }
     }
 
     /// Returns this gateway's part in watching.
-    pub(in crate::control) fn observing(&self) -> Observing {
+    pub(in crate::control) fn observing(&self) -> ObserverRole {
         self.observing.get()
     }
 
@@ -103,23 +105,25 @@
     /// Returns how long a watch of the configuration waits.
     pub(super) fn catalog_span(&self) -> WatchSpan {
         match self.observing.get() {
-            Observing::Nothing | Observing::Configuration => WatchSpan::Long,
-            Observing::Reserve | Observing::Foremost => WatchSpan::Brief,
+            ObserverRole::Inactive | ObserverRole::ConfigurationOnly => {
+                WatchSpan::Long
+            }
+            ObserverRole::Standby | ObserverRole::Primary => WatchSpan::Brief,
         }
     }
 
     pub(super) fn watches_listing(&self) -> bool {
         let observing = self.observing.get();
-        matches!(observing, Observing::Reserve | Observing::Foremost)
+        matches!(observing, ObserverRole::Standby | ObserverRole::Primary)
     }
 
     /// Returns how long a watch of the list rests after a change.
     pub(super) fn rest_after_change(&self) -> Duration {
         match self.observing.get() {
-            Observing::Reserve => BETWEEN_CHANGES_IN_RESERVE,
-            Observing::Nothing
-            | Observing::Configuration
-            | Observing::Foremost => BETWEEN_CHANGES,
+            ObserverRole::Standby => BETWEEN_CHANGES_IN_RESERVE,
+            ObserverRole::Inactive
+            | ObserverRole::ConfigurationOnly
+            | ObserverRole::Primary => BETWEEN_CHANGES,
         }
     }
 }
--- a/crates/valehold-gateway/src/control/feeds/tests.rs
+++ b/crates/valehold-gateway/src/control/feeds/tests.rs
@@ -27,7 +27,7 @@
 };
 
 use super::{
-    super::input::Input, Observing, WatchOrders, follow_catalog,
+    super::input::Input, ObserverRole, WatchOrders, follow_catalog,
     follow_listing,
 };
 
@@ -215,7 +215,7 @@
     let store = Arc::new(store);
     let (inputs, mut taken) = mpsc::unbounded_channel();
     let orders = Rc::new(WatchOrders::new());
-    orders.set_observing(Observing::Foremost);
+    orders.set_observing(ObserverRole::Primary);
     let hear = {
         let store = store.clone();
         async move {
--- a/crates/valehold-gateway/src/control/limits.rs
+++ b/crates/valehold-gateway/src/control/limits.rs
@@ -81,7 +81,7 @@
         let present = self.roster.staying();
         let has_heard = self.limits.presence.seen() > 1 || present.len() > 1;
         let told = match self.has_settled(now) && has_heard {
-            true => self.roster.most_seen(now),
+            true => self.roster.max_reported_gateways(now),
             false => self.limits.at_first,
         };
         let left = self.roster.leaving();
--- a/crates/valehold-gateway/src/control/loads.rs
+++ b/crates/valehold-gateway/src/control/loads.rs
@@ -16,7 +16,7 @@
         message::{
             GroupLoads, HubNews, LoadNews, LoadReport, Message, UpstreamLoad,
         },
-        roster::sums::{as_list, as_loads},
+        roster::sums::{load_list, loads_by_upstream},
     },
     view::Load,
 };
@@ -39,7 +39,7 @@
         if !self.roster.has_hubs() {
             return;
         }
-        if self.roster.is_foremost_hub() {
+        if self.roster.is_primary_hub() {
             // Where the link is full, sums are told as often as it bears.
             if self.outbox.borrow().is_empty() {
                 self.tell_sums(now);
@@ -59,7 +59,7 @@
         let own = self.loads_to_tell();
         self.sequence += 1;
         let number = WordNumber { start: self.start, sequence: self.sequence };
-        if !self.roster.hubs_elsewhere().is_empty() {
+        if !self.roster.remote_hubs().is_empty() {
             let sums = self.roster.sum_group_loads(&own, now);
             let usage = self.group_usage(now);
             let told = &mut self.told_group_sums;
@@ -68,14 +68,14 @@
                 number,
                 usage,
                 data_centre: self.shared.settings.data_centre.clone(),
-                news: told.news(&sums, MOST_SUMS_AT_ONCE),
+                news: told.next_update(&sums, MOST_SUMS_AT_ONCE),
             });
-            let elsewhere = self.roster.hubs_elsewhere().iter().copied();
+            let elsewhere = self.roster.remote_hubs().iter().copied();
             self.send(elsewhere, &message);
         }
         let sums = self.roster.sum_loads(&own, now);
         let loads = match self.tells_loads() {
-            true => self.told_sums.news(&sums, MOST_SUMS_AT_ONCE),
+            true => self.told_sums.next_update(&sums, MOST_SUMS_AT_ONCE),
             false => LoadNews::default(),
         };
         let group = self.roster.summary_targets();
@@ -90,7 +90,7 @@
         let loads = self.loads_to_tell();
         let usage = self.usage_news(now);
         let paces = self.shared.take_seen_paces();
-        let told = as_loads(&loads);
+        let told = loads_by_upstream(&loads);
         let is_same = told == self.told_loads;
         if is_same && usage.is_empty() && paces.is_empty() {
             return;
@@ -105,7 +105,7 @@
             usage,
             paces,
         };
-        self.send(self.roster.other_own_hubs(), &Message::Loads(report));
+        self.send(self.roster.other_local_hubs(), &Message::Loads(report));
     }
 
     fn tells_loads(&self) -> bool {
@@ -117,7 +117,7 @@
     fn loads_to_tell(&self) -> Vec<UpstreamLoad> {
         match self.tells_loads() {
             true => self.own_loads(),
-            false => as_list(&self.told_loads),
+            false => load_list(&self.told_loads),
         }
     }
 
@@ -134,7 +134,7 @@
 
     /// Publishes what the others have under way.
     pub(super) fn publish_loads(&self, now: Millis) {
-        let others = self.roster.loads(&self.told_loads, now);
+        let others = self.roster.loads_of_others(&self.told_loads, now);
         self.shared.peer_loads.store(Arc::new(others));
     }
 }
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -85,9 +85,9 @@
         message::{Duty, MAX_DATAGRAM, Message, Rank, StoreSight},
         outbox::Outbox,
         roster::{
-            Own, OwnWord,
-            members::ToldMembers,
-            sums::{Loads, ToldSums},
+            LocalMember, LocalReport,
+            members::AdvertisedMembers,
+            sums::{AdvertisedSums, Loads},
         },
         state,
     },
@@ -176,9 +176,9 @@
     /// From when on loads may be told again.
     loads_due: Millis,
     /// What this gateway said last as a hub of all loads.
-    told_sums: ToldSums,
+    told_sums: AdvertisedSums,
     /// What it said last as a hub of the loads of its group.
-    told_group_sums: ToldSums,
+    told_group_sums: AdvertisedSums,
     store_calls: Arc<dyn FleetStore>,
     record: crashes::RecordDuty,
     /// What it knew of crashes when others were told last.
@@ -188,7 +188,7 @@
     /// Limits of upstreams of which others are to be told.
     told_limits: upstream_limits::ToldLimits,
     /// What this gateway said last as a hub of who is there.
-    told_members: ToldMembers,
+    told_members: AdvertisedMembers,
 }
 
 impl Control {
@@ -249,7 +249,7 @@
         let is_alone = known.iter().all(|seed| *seed == own_state);
         let mut control = Self {
             roster: Roster::new(
-                Own {
+                LocalMember {
                     heartbeats: settings.peers.heartbeats,
                     state: settings.peers.state,
                     data_centre: settings.data_centre.clone(),
@@ -288,14 +288,14 @@
             beat: None,
             told_loads: Loads::new(),
             loads_due: Millis::default(),
-            told_sums: ToldSums::default(),
-            told_group_sums: ToldSums::default(),
+            told_sums: AdvertisedSums::default(),
+            told_group_sums: AdvertisedSums::default(),
             store_calls,
             record: crashes::RecordDuty::default(),
             told_crashes: crashes::ToldCrashes::default(),
             told_leaving: leaving::ToldLeaving::default(),
             told_limits: upstream_limits::ToldLimits::default(),
-            told_members: ToldMembers::default(),
+            told_members: AdvertisedMembers::default(),
             shared: shared.clone(),
         };
         control.presence_changed(now);
@@ -401,8 +401,8 @@
         }
     }
 
-    fn own_word(&self) -> OwnWord {
-        OwnWord {
+    fn own_word(&self) -> LocalReport {
+        LocalReport {
             requests: self.shared.settings.callers.requests,
             life: self.life,
             store: self.store,
@@ -416,9 +416,9 @@
             return;
         }
         let around = Around {
-            holder_heard: self.roster.holder(now).is_some(),
-            store_heard: self.roster.hears_store(),
-            place: self.roster.place(Duty::Place).min(LAST_PLACE),
+            holder_heard: self.roster.lease_holder(now).is_some(),
+            store_heard: self.roster.others_reach_store(),
+            place: self.roster.duty_position(Duty::Place).min(LAST_PLACE),
         };
         let lost_loads = self.placer.lost_loads(now);
         let mut lease = self.lease.borrow_mut();
@@ -495,7 +495,7 @@
             self.placer.wished(asked, now);
             self.place_soon();
             self.place_if_wanted();
-        } else if let Some(holder) = self.roster.holder(now) {
+        } else if let Some(holder) = self.roster.lease_holder(now) {
             self.send([holder], &Message::Wish(asked));
         }
     }
@@ -520,7 +520,7 @@
     fn set_life(&mut self, life: Life) {
         self.life = life;
         let now = self.now();
-        self.roster.work_out(self.own_word(), now);
+        self.roster.recompute(self.own_word(), now);
         self.members_changed();
         // Who waits for it finds the view that goes with it.
         self.publish();
--- a/crates/valehold-gateway/src/control/placing.rs
+++ b/crates/valehold-gateway/src/control/placing.rs
@@ -104,7 +104,7 @@
     fn sum_up(&self, now: Millis) -> Sums {
         let own = self.demand.list(&self.shared.running());
         let demand = self.roster.sum_demand(&own, now);
-        let mut loads = self.roster.loads(&self.told_loads, now);
+        let mut loads = self.roster.loads_of_others(&self.told_loads, now);
         for (start, load) in self.shared.loads().iter() {
             let sum: &mut Load = loads.entry(start.tag()).or_default();
             *sum = sum.plus(*load);
--- a/crates/valehold-gateway/src/control/publishing.rs
+++ b/crates/valehold-gateway/src/control/publishing.rs
@@ -45,7 +45,7 @@
 
     fn has_holder(&self, now: Millis) -> bool {
         let holds = self.lease.borrow().held_epoch(now).is_some();
-        holds || self.roster.holder(now).is_some()
+        holds || self.roster.lease_holder(now).is_some()
     }
 
     /// Publishes a view if something changed and the last is not too young.
--- a/crates/valehold-gateway/src/control/store_sight.rs
+++ b/crates/valehold-gateway/src/control/store_sight.rs
@@ -9,7 +9,7 @@
 use super::Control;
 use crate::{
     events::Event,
-    peers::{message::StoreSight, roster::Observing},
+    peers::{message::StoreSight, roster::ObserverRole},
 };
 
 /// For how long a gateway that has just started leaves watching the store to
@@ -22,20 +22,20 @@
     pub(super) fn watch_store(&mut self, now: Millis) {
         let knows_all = self.knows_all();
         let peers_know = !knows_all
-            && self.roster.with_newer_listing(0, None, now).is_some();
+            && self.roster.newer_listing_address(0, None, now).is_some();
         let looks = self.behind.looks_itself(knows_all, peers_know, now);
         let observing = match looks {
-            Some(true) => Observing::Foremost,
-            Some(false) => Observing::Nothing,
-            None if self.is_new_among_many(now) => Observing::Nothing,
-            None => self.roster.observing(self.store),
+            Some(true) => ObserverRole::Primary,
+            Some(false) => ObserverRole::Inactive,
+            None if self.is_new_among_many(now) => ObserverRole::Inactive,
+            None => self.roster.observer_role(self.store),
         };
         self.watch_orders.set_observing(observing);
-        if observing == Observing::Nothing {
+        if observing == ObserverRole::Inactive {
             self.store = StoreSight::Unknown;
         }
         let looked_after = self.shared.settings.mechanisms.store_looked_after
-            && self.roster.others_look();
+            && self.roster.others_probe_store();
         self.watch_orders.others_look.set(looked_after);
     }
 
--- a/crates/valehold-gateway/src/control/telling.rs
+++ b/crates/valehold-gateway/src/control/telling.rs
@@ -15,7 +15,7 @@
             BoundDemand, GroupLoads, LeaseRumour, LeaseWord, LoadReport,
         },
         outbox::{Datagram, Sent, Urgency},
-        roster::{members::most_changes, sums::as_loads},
+        roster::{members::max_changes, sums::loads_by_upstream},
     },
     view::Life,
 };
@@ -49,7 +49,7 @@
         let lease = self.lease.borrow().word(now);
         let holds = matches!(lease, Some(LeaseWord::Holds { .. }));
         let loads = self.own_loads();
-        self.told_loads = as_loads(&loads);
+        self.told_loads = loads_by_upstream(&loads);
         Heartbeat {
             instance: settings.instance.clone(),
             start: self.start,
@@ -65,7 +65,7 @@
             crashes: self.crash_digest(now),
             lease,
             store: self.store,
-            known: self.roster.known(now),
+            known: self.roster.advertised_addresses(now),
             loads,
             demand: self.demand.list(&self.shared.running()),
             usage: self.usage_news(now),
@@ -85,7 +85,7 @@
         if self.roster.is_hub() {
             self.send_summary(&heartbeat, now);
         }
-        if self.roster.is_foremost_hub() {
+        if self.roster.is_primary_hub() {
             self.send_digests(&heartbeat, now);
         }
         let message = Message::Heartbeat(Box::new(heartbeat));
@@ -97,10 +97,10 @@
     fn send_summary(&mut self, own: &Heartbeat, now: Millis) {
         let rulings = self.rule_limits(now);
         let targets = self.roster.summary_targets();
-        let heard = self.roster.hub_members(own, now);
+        let heard = self.roster.members_to_advertise(own, now);
         let most = self.most_changes(targets.len(), now);
-        let members = self.told_members.news(&heard, most);
-        let mut summary = self.roster.sum_up(own, members, rulings, now);
+        let members = self.told_members.next_update(&heard, most);
+        let mut summary = self.roster.summary(own, members, rulings, now);
         let mechanisms = self.shared.settings.mechanisms;
         let tells_loads = mechanisms.loads_between_heartbeats;
         if tells_loads {
@@ -110,19 +110,19 @@
         self.send(targets, &Message::Summary(Box::new(summary)));
         // What bears so many changes for a group bears all for so many.
         let all = self.told_members.len();
-        self.told_members.allow(self.most_changes(all, now));
+        self.told_members.set_reply_budget(self.most_changes(all, now));
         self.answer_asked();
     }
 
     fn most_changes(&self, group: usize, now: Millis) -> usize {
         let link_mbps = self.shared.settings.peers.link_mbps;
-        most_changes(link_mbps, self.beat_ms(now), group)
+        max_changes(link_mbps, self.beat_ms(now), group)
     }
 
     /// As a hub, tells all gateways to those that missed something: to as many
     /// as its link bears, the others after the next beat.
     fn answer_asked(&mut self) {
-        let asked = self.told_members.take_asked();
+        let asked = self.told_members.take_full_list_requests();
         if asked.is_empty() {
             return;
         }
@@ -134,7 +134,7 @@
     /// As the foremost hub of a group, tells the hubs of the others of its
     /// own, and the holder of the lease also of its demand.
     fn send_digests(&self, own: &Heartbeat, now: Millis) {
-        let elsewhere = self.roster.hubs_elsewhere();
+        let elsewhere = self.roster.remote_hubs();
         if elsewhere.is_empty() {
             return;
         }
@@ -142,7 +142,7 @@
             let digest = self.roster.digest(own, demand, now);
             Message::Digest(Box::new(digest))
         };
-        let holder = self.roster.holder(now);
+        let holder = self.roster.lease_holder(now);
         let others = elsewhere.iter().copied();
         let others = others.filter(|hub| Some(*hub) != holder);
         self.send(others, &digest(Vec::new()));
@@ -176,7 +176,7 @@
     /// Sends a message to every gateway that is there; those that pass it on
     /// come first.
     pub(super) fn send_all(&self, message: &Message) {
-        let spread = self.roster.spread();
+        let spread = self.roster.broadcast_targets();
         for bytes in self.encode(message) {
             if !spread.hubs.is_empty() {
                 let relay = Message::Relay(bytes.to_vec());
@@ -279,7 +279,7 @@
 
     /// Passes on to its group what is for all, and takes it in.
     fn pass_on(&mut self, from: SocketAddr, bytes: &[u8], now: Millis) {
-        let mut targets: BTreeSet<SocketAddr> = self.roster.group_targets();
+        let mut targets: BTreeSet<SocketAddr> = self.roster.relay_targets();
         targets.remove(&from);
         let passed_on = Bytes::copy_from_slice(bytes);
         self.send_bytes(targets, &passed_on, "relay", Urgency::Once);
@@ -294,7 +294,7 @@
 
     fn hear(&mut self, from: SocketAddr, message: Message, now: Millis) {
         if let Some(number) = message.number()
-            && !self.roster.takes(from, number, now)
+            && !self.roster.accept_number(from, number, now)
         {
             log::debug!("{} of {from} was overtaken", message.label());
             return;
@@ -318,7 +318,7 @@
                 let evacuations = summary.evacuations.take();
                 self.hear_evacuations(evacuations, CatalogSource::Peer, now);
                 self.keep_to(summary.rulings.as_ref(), now);
-                let is_missing = self.roster.summed_up(from, *summary, now);
+                let is_missing = self.roster.on_summary(from, *summary, now);
                 if is_missing {
                     self.send([from], &Message::AskMembers);
                 }
@@ -326,35 +326,35 @@
                 self.hear_rumours(now);
             }
             Message::AskMembers => {
-                self.told_members.ask(from);
+                self.told_members.request_full_list(from);
                 self.answer_asked();
             }
             Message::Members(part) => {
-                self.roster.members_heard(from, &part, now);
+                self.roster.on_member_part(from, &part, now);
             }
             Message::Digest(mut digest) => {
                 self.compare_crashes(from, digest.crashes, now);
                 let evacuations = digest.evacuations.take();
                 self.hear_evacuations(evacuations, CatalogSource::Peer, now);
-                self.roster.digest_heard(from, *digest, now);
+                self.roster.on_digest(from, *digest, now);
                 self.hear_rumours(now);
             }
             Message::Loads(report) => {
                 let LoadReport { instance, start, usage, paces, .. } = &report;
                 self.hear_usage(instance, *start, usage, now);
                 self.learn_paces(paces, now);
-                self.roster.load_heard(report, now);
+                self.roster.on_load_report(report, now);
             }
             Message::HubNews(news) => {
                 self.keep_to(news.rulings.as_ref(), now);
                 self.hear_paces(&news.paces, now);
-                self.roster.load_sums_heard(news.loads, now);
+                self.roster.on_load_update(news.loads, now);
                 self.publish_loads(now);
             }
             Message::GroupLoads(group) => {
                 let GroupLoads { instance, number, usage, .. } = &group;
                 self.hear_group_usage(instance, number.start, usage, now);
-                self.roster.group_loads_heard(group, now);
+                self.roster.on_group_loads(group, now);
             }
             Message::Catalog(catalog) => {
                 self.configure(*catalog, CatalogSource::Push, now);
@@ -418,7 +418,7 @@
             let rumour = LeaseRumour { from, word, age_ms: 0 };
             self.lease.borrow_mut().heard(rumour, now);
         }
-        let is_new = self.roster.heard(from, heartbeat, now);
+        let is_new = self.roster.on_heartbeat(from, heartbeat, now);
         self.upstreams.tell(holdings, now);
         if !self.roster.has_hubs() {
             self.publish_loads(now);
@@ -431,7 +431,7 @@
     }
 
     fn hear_rumours(&mut self, now: Millis) {
-        for rumour in self.roster.rumours(now) {
+        for rumour in self.roster.lease_reports(now) {
             self.lease.borrow_mut().heard(rumour, now);
         }
     }
--- a/crates/valehold-gateway/src/peers/roster/standing.rs
+++ b/crates/valehold-gateway/src/peers/roster/hierarchy.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use valehold_core::{Millis, id::DataCentreId};
 
-use super::Own;
+use super::LocalMember;
 use crate::{
     peers::message::{
         Duty, Heartbeat, MemberList, MemberWord, Rank, StoreSight,
@@ -18,29 +18,29 @@
 };
 
 /// Up to how many gateways each hears every other.
-const MOST_WITHOUT_HUBS: usize = 14;
+const MAX_WITHOUT_HUBS: usize = 14;
 
 /// How many hubs there are where all gateways are one group.
-const HUBS_OF_ALL: usize = 3;
+const HUBS_OF_SINGLE_GROUP: usize = 3;
 
 /// How many hubs a group has where there are many.
-const HUBS_OF_GROUP: usize = 2;
+const HUBS_PER_GROUP: usize = 2;
 
 /// Above how many gateways each data centre is a group of its own. A hub
 /// hears every gateway of its group a few times a second and tells each as
 /// often: at 128, with the figures of the largest deployment so far, this is
 /// a twentieth of the weakest machine that comes to be a hub.
-const MOST_IN_ONE_GROUP: usize = 128;
+const MAX_IN_SINGLE_GROUP: usize = 128;
 
 /// Below how many gateways they are one group again.
-const FEW_ENOUGH_FOR_ONE_GROUP: usize = 96;
+const MIN_FOR_MANY_GROUPS: usize = 96;
 
 /// How often all this is worked out where gateways are many, in ms.
-const WORK_OUT_EVERY_MS: u64 = 200;
+const RECOMPUTE_INTERVAL_MS: u64 = 200;
 
 /// For how long a gateway that was expected to be a hub and said nothing is
 /// passed over, in ms.
-const PASS_OVER_MS: u64 = 5_000;
+const HUB_EXCLUSION_MS: u64 = 5_000;
 
 /// What is known of one gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -124,157 +124,161 @@
 }
 
 /// From what a standing is worked out.
-pub(super) struct StandingInputs<'a> {
+pub(super) struct HierarchyInputs<'a> {
     pub(super) members: BTreeMap<SocketAddr, Member>,
-    pub(super) own: &'a Own,
+    pub(super) own: &'a LocalMember,
     pub(super) silent_ms: u64,
     pub(super) now: Millis,
 }
 
 /// Which gateways there are, and who of them does what.
 #[derive(Debug)]
-pub struct Standing {
+pub struct Hierarchy {
     own: SocketAddr,
     own_data_centre: DataCentreId,
     members: BTreeMap<SocketAddr, Member>,
     many_groups: bool,
     /// The hubs of this gateway's group, the greatest first.
-    own_hubs: Vec<SocketAddr>,
-    hubs_elsewhere: Vec<SocketAddr>,
+    local_hubs: Vec<SocketAddr>,
+    remote_hubs: Vec<SocketAddr>,
     /// The greatest hub of each other group.
-    foremost_elsewhere: Vec<SocketAddr>,
+    remote_primary_hubs: Vec<SocketAddr>,
     /// Gateways that are to be heard as hubs, and since when.
-    expected: BTreeMap<SocketAddr, Millis>,
+    expected_hubs: BTreeMap<SocketAddr, Millis>,
     /// When each gateway was heard last.
-    heard: BTreeMap<SocketAddr, Millis>,
+    last_received: BTreeMap<SocketAddr, Millis>,
     /// Gateways that are passed over as hubs, and until when.
-    passed_over: BTreeMap<SocketAddr, Millis>,
-    worked_out: Option<Millis>,
+    excluded: BTreeMap<SocketAddr, Millis>,
+    computed_at: Option<Millis>,
 }
 
-impl Standing {
+impl Hierarchy {
     /// Makes the standing of a gateway that has heard of nobody.
-    pub(super) fn alone(own: &Own) -> Self {
+    pub(super) fn new(own: &LocalMember) -> Self {
         Self {
             own: own.heartbeats,
             own_data_centre: own.data_centre.clone(),
             members: BTreeMap::new(),
             many_groups: false,
-            own_hubs: Vec::new(),
-            hubs_elsewhere: Vec::new(),
-            foremost_elsewhere: Vec::new(),
-            expected: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            passed_over: BTreeMap::new(),
-            worked_out: None,
+            local_hubs: Vec::new(),
+            remote_hubs: Vec::new(),
+            remote_primary_hubs: Vec::new(),
+            expected_hubs: BTreeMap::new(),
+            last_received: BTreeMap::new(),
+            excluded: BTreeMap::new(),
+            computed_at: None,
         }
     }
 
     /// Notes that a gateway was heard.
-    pub(super) fn heard(&mut self, from: SocketAddr, now: Millis) {
-        self.heard.insert(from, now);
+    pub(super) fn record_receipt(&mut self, from: SocketAddr, now: Millis) {
+        self.last_received.insert(from, now);
     }
 
     /// Tells whether it is to be worked out anew.
     pub(super) fn is_due(&self, now: Millis) -> bool {
-        let every_ms = match self.own_hubs.is_empty() {
+        let every_ms = match self.local_hubs.is_empty() {
             true => 0,
-            false => WORK_OUT_EVERY_MS,
+            false => RECOMPUTE_INTERVAL_MS,
         };
-        self.worked_out.is_none_or(|at| now.since(at) >= every_ms)
+        self.computed_at.is_none_or(|at| now.since(at) >= every_ms)
     }
 
     /// Works it out.
-    pub(super) fn work_out(&mut self, inputs: StandingInputs<'_>) {
-        let StandingInputs { members, own, silent_ms, now } = inputs;
-        self.worked_out = Some(now);
+    pub(super) fn recompute(&mut self, inputs: HierarchyInputs<'_>) {
+        let HierarchyInputs { members, own, silent_ms, now } = inputs;
+        self.computed_at = Some(now);
         self.members = members;
-        self.heard.retain(|_, at| now.since(*at) < PASS_OVER_MS);
-        self.pass_over_silent(silent_ms, now);
+        self.last_received.retain(|_, at| now.since(*at) < HUB_EXCLUSION_MS);
+        self.exclude_silent_hubs(silent_ms, now);
         let count = self.staying().count();
         self.many_groups = match self.many_groups {
-            true => count >= FEW_ENOUGH_FOR_ONE_GROUP,
-            false => count > MOST_IN_ONE_GROUP,
+            true => count >= MIN_FOR_MANY_GROUPS,
+            false => count > MAX_IN_SINGLE_GROUP,
         };
         self.choose_hubs(count, own);
         self.expect_hubs(now);
     }
 
     /// Passes over who was to be heard as a hub and was not.
-    fn pass_over_silent(&mut self, silent_ms: u64, now: Millis) {
-        self.passed_over.retain(|_, until| now < *until);
+    fn exclude_silent_hubs(&mut self, silent_ms: u64, now: Millis) {
+        self.excluded.retain(|_, until| now < *until);
         let is_silent = |address: &SocketAddr| {
-            let heard = self.heard.get(address);
+            let heard = self.last_received.get(address);
             heard.is_none_or(|at| now.since(*at) >= silent_ms)
         };
-        for (address, since) in &self.expected {
+        for (address, since) in &self.expected_hubs {
             if now.since(*since) >= silent_ms && is_silent(address) {
-                self.passed_over.insert(*address, now + PASS_OVER_MS);
+                self.excluded.insert(*address, now + HUB_EXCLUSION_MS);
             }
         }
     }
 
-    fn choose_hubs(&mut self, count: usize, own: &Own) {
-        self.own_hubs.clear();
-        self.hubs_elsewhere.clear();
-        self.foremost_elsewhere.clear();
-        if count <= MOST_WITHOUT_HUBS {
+    fn choose_hubs(&mut self, count: usize, own: &LocalMember) {
+        self.local_hubs.clear();
+        self.remote_hubs.clear();
+        self.remote_primary_hubs.clear();
+        if count <= MAX_WITHOUT_HUBS {
             return;
         }
         if !self.many_groups {
-            self.own_hubs = self.greatest(HUBS_OF_ALL, |_| true);
+            self.local_hubs =
+                self.highest_ranked(HUBS_OF_SINGLE_GROUP, |_| true);
             return;
         }
         let mut groups: Vec<&DataCentreId> =
             self.members.values().map(|member| &member.data_centre).collect();
         groups.sort_unstable();
         groups.dedup();
-        let (mut elsewhere, mut foremost) = (Vec::new(), Vec::new());
+        let (mut remote_hubs, mut remote_primary_hubs) =
+            (Vec::new(), Vec::new());
         for group in groups {
-            let hubs =
-                self.greatest(HUBS_OF_GROUP, |one| one.data_centre == *group);
+            let hubs = self.highest_ranked(HUBS_PER_GROUP, |one| {
+                one.data_centre == *group
+            });
             match *group == own.data_centre {
-                true => self.own_hubs = hubs,
+                true => self.local_hubs = hubs,
                 false => {
-                    foremost.extend(hubs.first());
-                    elsewhere.extend(hubs);
+                    remote_primary_hubs.extend(hubs.first());
+                    remote_hubs.extend(hubs);
                 }
             }
         }
-        self.hubs_elsewhere = elsewhere;
-        self.foremost_elsewhere = foremost;
+        self.remote_hubs = remote_hubs;
+        self.remote_primary_hubs = remote_primary_hubs;
     }
 
     /// Returns the greatest gateways of some, the greatest first.
-    fn greatest(
+    fn highest_ranked(
         &self,
         count: usize,
         which: impl Fn(&Member) -> bool,
     ) -> Vec<SocketAddr> {
-        let able = self.members.iter().filter(|(address, member)| {
+        let eligible = self.members.iter().filter(|(address, member)| {
             member.stays()
                 && which(member)
-                && !self.passed_over.contains_key(address)
+                && !self.excluded.contains_key(address)
         });
-        let mut able: Vec<(Rank, SocketAddr)> = able
+        let mut eligible: Vec<(Rank, SocketAddr)> = eligible
             .map(|(address, one)| (one.rank.for_duty(Duty::Hub), *address))
             .collect();
-        able.sort_unstable_by_key(|one| Reverse(*one));
-        able.into_iter().take(count).map(|(_, address)| address).collect()
+        eligible.sort_unstable_by_key(|one| Reverse(*one));
+        eligible.into_iter().take(count).map(|(_, address)| address).collect()
     }
 
     /// Notes which gateways are to be heard: the hubs of its own group, and,
     /// for a hub, the foremost of each other one.
     fn expect_hubs(&mut self, now: Millis) {
         let own = self.own;
-        let mut expected: Vec<SocketAddr> = self.own_hubs.clone();
-        if self.own_hubs.contains(&own) {
-            expected.extend(&self.foremost_elsewhere);
+        let mut expected_hubs: Vec<SocketAddr> = self.local_hubs.clone();
+        if self.local_hubs.contains(&own) {
+            expected_hubs.extend(&self.remote_primary_hubs);
         }
-        expected.retain(|address| *address != own);
-        self.expected.retain(|address, _| expected.contains(address));
-        for address in expected {
-            self.expected.entry(address).or_insert(now);
+        expected_hubs.retain(|address| *address != own);
+        self.expected_hubs
+            .retain(|address, _| expected_hubs.contains(address));
+        for address in expected_hubs {
+            self.expected_hubs.entry(address).or_insert(now);
         }
     }
 
@@ -284,22 +288,22 @@
     }
 
     /// Returns the hubs of this gateway's group, the greatest first.
-    pub fn own_hubs(&self) -> &[SocketAddr] {
-        &self.own_hubs
+    pub fn local_hubs(&self) -> &[SocketAddr] {
+        &self.local_hubs
     }
 
     /// Returns the hubs of other groups.
-    pub fn hubs_elsewhere(&self) -> &[SocketAddr] {
-        &self.hubs_elsewhere
+    pub fn remote_hubs(&self) -> &[SocketAddr] {
+        &self.remote_hubs
     }
 
     /// Returns all hubs.
     pub fn all_hubs(&self) -> impl Iterator<Item = SocketAddr> {
-        self.own_hubs.iter().chain(&self.hubs_elsewhere).copied()
+        self.local_hubs.iter().chain(&self.remote_hubs).copied()
     }
 
     /// Tells whether a gateway is heard of.
-    pub fn has(&self, heartbeats: &SocketAddr) -> bool {
+    pub fn contains(&self, heartbeats: &SocketAddr) -> bool {
         self.members.contains_key(heartbeats)
     }
 
@@ -318,7 +322,7 @@
 
     /// Returns the gateways of this one's group that are no hubs.
     pub fn group_without_hubs(&self) -> impl Iterator<Item = SocketAddr> {
-        self.group().filter(|address| !self.own_hubs.contains(address))
+        self.group().filter(|address| !self.local_hubs.contains(address))
     }
 
     /// Returns every gateway that does not leave.
--- a/crates/valehold-gateway/src/peers/roster/words.rs
+++ b/crates/valehold-gateway/src/peers/roster/hub_reports.rs
@@ -5,9 +5,9 @@
 use valehold_core::{Millis, fleet::usage::Rulings};
 
 use super::{
-    HUBS_KEEP, Heard, Roster,
+    HUB_REPORT_TTL_FACTOR, HubReport, Roster,
+    hierarchy::{Member, members_of},
     members::MemberTable,
-    standing::{Member, members_of},
 };
 use crate::peers::message::{
     BoundDemand, Digest, Heartbeat, LeaseRumour, LeaseWord, MemberList,
@@ -20,14 +20,20 @@
     ///
     /// A hub that has just become one has not heard all yet, and a hub drops
     /// whoever it does not hear any more: so the longest list is the best.
-    pub(super) fn told_members(&self, now: Millis) -> Option<&MemberTable> {
-        let keep_ms = self.silent_ms * HUBS_KEEP;
+    pub(super) fn longest_hub_table(
+        &self,
+        now: Millis,
+    ) -> Option<&MemberTable> {
+        let keep_ms = self.silent_ms * HUB_REPORT_TTL_FACTOR;
         let live = self
             .summaries
             .iter()
-            .filter(|(_, one)| now.since(one.at) < keep_ms);
+            .filter(|(_, one)| now.since(one.received_at) < keep_ms);
         let tables = live.filter_map(|(hub, one)| {
-            Some((self.told_by.get(hub)?.enough()?, one.at))
+            Some((
+                self.members_by_hub.get(hub)?.sufficient()?,
+                one.received_at,
+            ))
         });
         let longest = tables.max_by_key(|(table, at)| (table.len(), *at));
         longest.map(|(table, _)| table)
@@ -36,10 +42,10 @@
     fn live_summaries(
         &self,
         now: Millis,
-    ) -> impl Iterator<Item = &Heard<Summary>> {
-        let keep_ms = self.silent_ms * HUBS_KEEP;
+    ) -> impl Iterator<Item = &HubReport<Summary>> {
+        let keep_ms = self.silent_ms * HUB_REPORT_TTL_FACTOR;
         let all = self.summaries.values();
-        all.filter(move |one| now.since(one.at) < keep_ms)
+        all.filter(move |one| now.since(one.received_at) < keep_ms)
     }
 
     /// Returns what the hub of each data centre says: the one that lists the
@@ -48,21 +54,22 @@
         &self,
         now: Millis,
     ) -> impl Iterator<Item = &Digest> {
-        let keep_ms = self.silent_ms * HUBS_KEEP;
-        let live: Vec<&Heard<Digest>> = self
+        let keep_ms = self.silent_ms * HUB_REPORT_TTL_FACTOR;
+        let live: Vec<&HubReport<Digest>> = self
             .digests
             .values()
-            .filter(|one| now.since(one.at) < keep_ms)
+            .filter(|one| now.since(one.received_at) < keep_ms)
             .collect();
-        let size = |one: &Heard<Digest>| one.word.members.members.len();
-        let is_best = |one: &Heard<Digest>, all: &[&Heard<Digest>]| {
+        let size = |one: &HubReport<Digest>| one.report.members.members.len();
+        let is_best = |one: &HubReport<Digest>, all: &[&HubReport<Digest>]| {
             !all.iter().any(|other| {
-                other.word.data_centre == one.word.data_centre
-                    && (size(other), other.at) > (size(one), one.at)
+                other.report.data_centre == one.report.data_centre
+                    && (size(other), other.received_at)
+                        > (size(one), one.received_at)
             })
         };
         let best = live.iter().filter(|one| is_best(one, &live));
-        let best: Vec<&Digest> = best.map(|one| &one.word).collect();
+        let best: Vec<&Digest> = best.map(|one| &one.report).collect();
         best.into_iter()
     }
 
@@ -71,7 +78,7 @@
         &self,
         now: Millis,
     ) -> impl Iterator<Item = Newest> {
-        let summaries = self.live_summaries(now).map(|one| one.word.catalog);
+        let summaries = self.live_summaries(now).map(|one| one.report.catalog);
         summaries.chain(self.live_digests(now).map(|digest| digest.catalog))
     }
 
@@ -80,48 +87,59 @@
         &self,
         now: Millis,
     ) -> impl Iterator<Item = Newest> {
-        let summaries = self.live_summaries(now).map(|one| one.word.listing);
+        let summaries = self.live_summaries(now).map(|one| one.report.listing);
         summaries.chain(self.live_digests(now).map(|digest| digest.listing))
     }
 
     /// Returns where the holder of the lease takes wishes, if there is one.
-    pub fn holder(&self, now: Millis) -> Option<SocketAddr> {
-        let rumours = self.rumours(now);
-        let held = rumours.into_iter().filter_map(|one| match one.word {
-            LeaseWord::Holds { epoch, .. } => Some((epoch, one.from)),
-            LeaseWord::GaveUp { .. } => None,
-        });
+    pub fn lease_holder(&self, now: Millis) -> Option<SocketAddr> {
+        let lease_reports = self.lease_reports(now);
+        let held =
+            lease_reports.into_iter().filter_map(|one| match one.word {
+                LeaseWord::Holds { epoch, .. } => Some((epoch, one.from)),
+                LeaseWord::GaveUp { .. } => None,
+            });
         held.max().map(|(_, holder)| holder)
     }
 
     /// Returns what is said of the lease, directly or by hubs.
-    pub fn rumours(&self, now: Millis) -> Vec<LeaseRumour> {
-        let direct = self.live(now).filter_map(|peer| {
+    pub fn lease_reports(&self, now: Millis) -> Vec<LeaseRumour> {
+        let direct = self.live_peers(now).filter_map(|peer| {
             Some(LeaseRumour {
                 from: peer.address,
                 word: peer.heartbeat.lease?,
-                age_ms: now.since(peer.heard),
+                age_ms: now.since(peer.received_at),
             })
         });
         let mut all: Vec<LeaseRumour> = direct.collect();
         for one in self.live_summaries(now) {
-            self.add_rumours(&mut all, &one.word.lease, one.at, now);
+            self.add_lease_reports(
+                &mut all,
+                &one.report.lease,
+                one.received_at,
+                now,
+            );
         }
         for one in self.digests.values() {
-            self.add_rumours(&mut all, &one.word.lease, one.at, now);
+            self.add_lease_reports(
+                &mut all,
+                &one.report.lease,
+                one.received_at,
+                now,
+            );
         }
         all
     }
 
-    fn add_rumours(
+    fn add_lease_reports(
         &self,
         all: &mut Vec<LeaseRumour>,
         heard: &[LeaseRumour],
         at: Millis,
         now: Millis,
     ) {
-        let keep_ms = match self.standing.has_many_groups() {
-            true => self.silent_ms * HUBS_KEEP,
+        let keep_ms = match self.hierarchy.has_many_groups() {
+            true => self.silent_ms * HUB_REPORT_TTL_FACTOR,
             false => self.silent_ms,
         };
         let since = now.since(at);
@@ -135,14 +153,14 @@
     }
 
     /// Returns the newest rumour of each gateway, and this one's own word.
-    fn rumours_to_tell(
+    fn lease_reports_to_advertise(
         &self,
         own: &Heartbeat,
         now: Millis,
     ) -> Vec<LeaseRumour> {
         let from = self.own.heartbeats;
         let own = own.lease.map(|word| LeaseRumour { from, word, age_ms: 0 });
-        let mut all = self.rumours(now);
+        let mut all = self.lease_reports(now);
         all.extend(own);
         all.sort_by_key(|one| (one.from, one.age_ms));
         all.dedup_by_key(|one| one.from);
@@ -151,7 +169,7 @@
 
     /// Returns every gateway that a hub tells its group of; `own` is this
     /// gateway's own heartbeat.
-    pub fn hub_members(
+    pub fn members_to_advertise(
         &self,
         own: &Heartbeat,
         now: Millis,
@@ -161,7 +179,7 @@
             .filter(|digest| digest.data_centre != self.own.data_centre);
         let mut members: BTreeMap<SocketAddr, Member> =
             elsewhere.flat_map(|digest| members_of(&digest.members)).collect();
-        for peer in self.live_in_group(now) {
+        for peer in self.live_peers_in_group(now) {
             members.insert(peer.address, Member::of(&peer.heartbeat));
         }
         members.insert(self.own.heartbeats, Member::of(own));
@@ -169,7 +187,7 @@
     }
 
     /// Makes a hub's summary; `own` is this gateway's own heartbeat.
-    pub fn sum_up(
+    pub fn summary(
         &self,
         own: &Heartbeat,
         members: MemberNews,
@@ -185,9 +203,15 @@
             number: own.number(),
             members,
             loads: self.sum_loads(&own.loads, now),
-            lease: self.rumours_to_tell(own, now),
-            catalog: newer(self.own_catalog(own, now), newest(catalogs)),
-            listing: newer(self.own_listing(own, now), newest(listings)),
+            lease: self.lease_reports_to_advertise(own, now),
+            catalog: newer(
+                self.newest_direct_catalog(own, now),
+                newest(catalogs),
+            ),
+            listing: newer(
+                self.newest_direct_listing(own, now),
+                newest(listings),
+            ),
             evacuations: own.evacuations.clone(),
             crashes: own.crashes,
             rulings,
@@ -206,9 +230,9 @@
             number: own.number(),
             data_centre: self.own.data_centre.clone(),
             members: MemberList::of(&self.group_members(own, now)),
-            lease: self.rumours_to_tell(own, now),
-            catalog: self.own_catalog(own, now),
-            listing: self.own_listing(own, now),
+            lease: self.lease_reports_to_advertise(own, now),
+            catalog: self.newest_direct_catalog(own, now),
+            listing: self.newest_direct_listing(own, now),
             evacuations: own.evacuations.clone(),
             crashes: own.crashes,
             demand,
@@ -217,11 +241,11 @@
 
     /// Returns how many gateways there were lately, by the word of the one
     /// that has seen the most; 0 if none is heard.
-    pub fn most_seen(&self, now: Millis) -> usize {
-        let peers = self.live(now).map(|peer| peer.heartbeat.seen);
+    pub fn max_reported_gateways(&self, now: Millis) -> usize {
+        let peers = self.live_peers(now).map(|peer| peer.heartbeat.seen);
         let hubs = self.live_summaries(now);
         let hubs =
-            hubs.filter_map(|one| Some(one.word.rulings.as_ref()?.seen));
+            hubs.filter_map(|one| Some(one.report.rulings.as_ref()?.seen));
         let most = peers.chain(hubs).max().unwrap_or(0);
         usize::try_from(most).unwrap_or(usize::MAX)
     }
@@ -232,7 +256,7 @@
         own: &Heartbeat,
         now: Millis,
     ) -> BTreeMap<SocketAddr, Member> {
-        let peers = self.live_in_group(now);
+        let peers = self.live_peers_in_group(now);
         let mut members: BTreeMap<SocketAddr, Member> = peers
             .map(|peer| (peer.address, Member::of(&peer.heartbeat)))
             .collect();
@@ -241,15 +265,21 @@
     }
 
     /// Returns the newest configuration here and at those heard directly.
-    fn own_catalog(&self, own: &Heartbeat, now: Millis) -> Newest {
+    fn newest_direct_catalog(&self, own: &Heartbeat, now: Millis) -> Newest {
         let here = Newest { version: own.catalog, state: own.state };
-        newer(here, newest(self.versions(now, |peer| peer.heartbeat.catalog)))
+        newer(
+            here,
+            newest(self.peer_versions(now, |peer| peer.heartbeat.catalog)),
+        )
     }
 
     /// Returns the newest list of upstreams here and at those heard directly.
-    fn own_listing(&self, own: &Heartbeat, now: Millis) -> Newest {
+    fn newest_direct_listing(&self, own: &Heartbeat, now: Millis) -> Newest {
         let here = Newest { version: own.listing, state: own.state };
-        newer(here, newest(self.versions(now, |peer| peer.heartbeat.listing)))
+        newer(
+            here,
+            newest(self.peer_versions(now, |peer| peer.heartbeat.listing)),
+        )
     }
 }
 
--- a/crates/valehold-gateway/src/peers/roster/members.rs
+++ b/crates/valehold-gateway/src/peers/roster/members.rs
@@ -14,31 +14,31 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::standing::{Member, members_of};
+use super::hierarchy::{Member, members_of};
 use crate::peers::message::{MemberList, MemberNews, MemberPart};
 
 /// How many gateways one datagram tells of at the most: some 25 bytes each.
-const MOST_IN_DATAGRAM: usize = 1_024;
+const MAX_PER_DATAGRAM: usize = 1_024;
 
 /// Of how many gateways it is enough to know: the greatest by rank are told
 /// first, and are hubs and observers whoever else there is. More than make one
 /// group, so that all agree that there are several.
-const ENOUGH: usize = 256;
+const SUFFICIENT_MEMBERS: usize = 256;
 
 /// The bytes that a datagram takes for each gateway that it tells of.
-const BYTES_EACH: f64 = 25.0;
+const BYTES_PER_MEMBER: f64 = 25.0;
 
 /// The part of a hub's link that changes of gateways may take.
-const LINK_PART: f64 = 0.25;
+const LINK_SHARE: f64 = 0.25;
 
 /// Returns of how many changed gateways a hub tells at once: what its link
 /// bears while it tells `group` gateways once in `every_ms`.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-pub fn most_changes(link_mbps: f64, every_ms: u64, group: usize) -> usize {
-    let bytes_each_ms = link_mbps * 1_000.0 / 8.0 * LINK_PART;
-    let bytes = bytes_each_ms * every_ms as f64;
-    let most = bytes / BYTES_EACH / group.max(1) as f64;
-    (most as usize).clamp(1, MOST_IN_DATAGRAM)
+pub fn max_changes(link_mbps: f64, every_ms: u64, group: usize) -> usize {
+    let bytes_per_ms = link_mbps * 1_000.0 / 8.0 * LINK_SHARE;
+    let bytes = bytes_per_ms * every_ms as f64;
+    let most = bytes / BYTES_PER_MEMBER / group.max(1) as f64;
+    (most as usize).clamp(1, MAX_PER_DATAGRAM)
 }
 
 /// Gateways, by where they take heartbeats, with a digest of all of them.
@@ -125,7 +125,7 @@
 
 /// The gateways that one hub told of.
 #[derive(Debug, Clone, Default)]
-pub(super) struct HeardMembers {
+pub(super) struct ReceivedMembers {
     /// The start of the hub that told.
     start: u64,
     table: MemberTable,
@@ -133,10 +133,14 @@
     is_enough: bool,
 }
 
-impl HeardMembers {
+impl ReceivedMembers {
     /// Takes in a hub's news; tells whether something of what it told before
     /// is missing.
-    pub(super) fn hear(&mut self, start: u64, news: &MemberNews) -> bool {
+    pub(super) fn apply_changes(
+        &mut self,
+        start: u64,
+        news: &MemberNews,
+    ) -> bool {
         if self.start != start {
             *self = Self { start, ..Self::default() };
         }
@@ -147,7 +151,7 @@
     }
 
     /// Takes in a part of all that the hub told.
-    pub(super) fn hear_part(&mut self, part: &MemberPart) {
+    pub(super) fn apply_part(&mut self, part: &MemberPart) {
         if self.start != part.start {
             return;
         }
@@ -158,33 +162,33 @@
 
     /// Returns the gateways, once they were enough to tell who stands for
     /// what.
-    pub(super) fn enough(&self) -> Option<&MemberTable> {
+    pub(super) fn sufficient(&self) -> Option<&MemberTable> {
         self.is_enough.then_some(&self.table)
     }
 }
 
 /// What this gateway told its group, as a hub, of who is there.
 #[derive(Debug, Default)]
-pub struct ToldMembers {
-    told: MemberTable,
+pub struct AdvertisedMembers {
+    advertised: MemberTable,
     /// Whether these are enough to tell who stands for what.
     is_enough: bool,
     /// Gateways that asked for all and were not told yet.
-    asked: BTreeSet<SocketAddr>,
+    full_list_requests: BTreeSet<SocketAddr>,
     /// How many of them may be told until the next news.
-    left: usize,
+    reply_budget: usize,
 }
 
-impl ToldMembers {
+impl AdvertisedMembers {
     /// Returns what is to be told, given all that are heard of: up to `most`
     /// changes, the greatest gateways by rank first, what is left with the
     /// next news.
-    pub fn news(
+    pub fn next_update(
         &mut self,
         heard: &BTreeMap<SocketAddr, Member>,
         most: usize,
     ) -> MemberNews {
-        let told = &self.told.members;
+        let told = &self.advertised.members;
         let is_gone = |address: &&SocketAddr| !heard.contains_key(address);
         let gone = told.keys().filter(is_gone).take(most);
         let gone: Vec<SocketAddr> = gone.copied().collect();
@@ -200,32 +204,32 @@
         let changed = MemberList::of(changed);
         let mut news =
             MemberNews { changed, gone, digest: 0, is_enough: false };
-        self.told.apply(&news);
-        self.is_enough =
-            self.told.len() >= ENOUGH || self.told.members == *heard;
-        news.digest = self.told.digest;
+        self.advertised.apply(&news);
+        self.is_enough = self.advertised.len() >= SUFFICIENT_MEMBERS
+            || self.advertised.members == *heard;
+        news.digest = self.advertised.digest;
         news.is_enough = self.is_enough;
         news
     }
 
     /// Notes that a gateway asks for all.
-    pub fn ask(&mut self, from: SocketAddr) {
-        self.asked.insert(from);
+    pub fn request_full_list(&mut self, from: SocketAddr) {
+        self.full_list_requests.insert(from);
     }
 
     /// Lets so many of those that ask be told until this is called again; at
     /// least one.
-    pub fn allow(&mut self, most: usize) {
-        self.left = most.max(1);
+    pub fn set_reply_budget(&mut self, most: usize) {
+        self.reply_budget = most.max(1);
     }
 
     /// Takes those of the gateways that asked for all that may be told now.
-    pub fn take_asked(&mut self) -> Vec<SocketAddr> {
+    pub fn take_full_list_requests(&mut self) -> Vec<SocketAddr> {
         let mut taken = Vec::new();
-        while self.left > 0
-            && let Some(one) = self.asked.pop_first()
+        while self.reply_budget > 0
+            && let Some(one) = self.full_list_requests.pop_first()
         {
-            self.left -= 1;
+            self.reply_budget -= 1;
             taken.push(one);
         }
         taken
@@ -233,7 +237,7 @@
 
     /// Returns how many gateways were told.
     pub fn len(&self) -> usize {
-        self.told.len()
+        self.advertised.len()
     }
 
     /// Tells whether none was told.
@@ -245,9 +249,9 @@
     /// that of this gateway.
     pub fn parts(&self, start: u64) -> Vec<MemberPart> {
         let all: Vec<(&SocketAddr, &Member)> =
-            self.told.members.iter().collect();
+            self.advertised.members.iter().collect();
         let mut parts: Vec<MemberPart> = Vec::new();
-        for some in all.chunks(MOST_IN_DATAGRAM) {
+        for some in all.chunks(MAX_PER_DATAGRAM) {
             let members = MemberList::of(some.iter().copied());
             let after = parts.last().and_then(|part| part.until);
             let until = some.last().map(|(address, _)| **address);
@@ -256,7 +260,7 @@
                 after,
                 until,
                 members,
-                digest: self.told.digest,
+                digest: self.advertised.digest,
                 is_enough: self.is_enough,
             });
         }
--- a/crates/valehold-gateway/src/peers/roster/mod.rs
+++ b/crates/valehold-gateway/src/peers/roster/mod.rs
@@ -14,11 +14,11 @@
 //! - `words`: what hubs say, and what is said of the lease.
 
 pub mod duties;
+pub mod hierarchy;
+mod hub_reports;
 pub mod members;
-pub mod standing;
 pub mod sums;
 pub mod targets;
-mod words;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -32,11 +32,11 @@
     id::{DataCentreId, InstanceId},
 };
 
-pub use self::{duties::Observing, targets::Spread};
+pub use self::{duties::ObserverRole, targets::BroadcastTargets};
 use self::{
-    members::HeardMembers,
-    standing::{Member, Standing, StandingInputs},
-    sums::HeardLoads,
+    hierarchy::{Hierarchy, HierarchyInputs, Member},
+    members::ReceivedMembers,
+    sums::ReceivedLoads,
 };
 use super::message::{
     Digest, GroupLoads, Heartbeat, LoadNews, LoadReport, MemberList,
@@ -51,25 +51,25 @@
 /// How many times longer than a gateway's own word that of a hub is kept: it
 /// takes up to three beats from a gateway over hubs to all, and a hub that
 /// falls silent is replaced after one span.
-const HUBS_KEEP: u64 = 2;
+const HUB_REPORT_TTL_FACTOR: u64 = 2;
 
 #[derive(Debug, Clone)]
 struct Peer {
     address: SocketAddr,
     heartbeat: Heartbeat,
-    heard: Millis,
+    received_at: Millis,
 }
 
 /// What a hub said, and when.
 #[derive(Debug, Clone)]
-struct Heard<T> {
-    word: T,
-    at: Millis,
+struct HubReport<T> {
+    report: T,
+    received_at: Millis,
 }
 
 /// What this gateway is among the others.
 #[derive(Debug, Clone)]
-pub struct Own {
+pub struct LocalMember {
     /// Where it takes heartbeats.
     pub heartbeats: SocketAddr,
     /// Where peers read its state.
@@ -83,52 +83,52 @@
 /// The gateways that this one has heard of.
 #[derive(Debug)]
 pub struct Roster {
-    own: Own,
+    own: LocalMember,
     silent_ms: u64,
     peers: BTreeMap<InstanceId, Peer>,
     /// Summaries, by their hubs' addresses.
-    summaries: BTreeMap<SocketAddr, Heard<Summary>>,
+    summaries: BTreeMap<SocketAddr, HubReport<Summary>>,
     /// The gateways that hubs told of, by the hubs' addresses.
-    told_by: BTreeMap<SocketAddr, HeardMembers>,
+    members_by_hub: BTreeMap<SocketAddr, ReceivedMembers>,
     /// What hubs of other data centres say, by their addresses.
-    digests: BTreeMap<SocketAddr, Heard<Digest>>,
+    digests: BTreeMap<SocketAddr, HubReport<Digest>>,
     /// The newest word of all loads, from a summary or between summaries.
-    load_sums: HeardLoads,
+    load_sums: ReceivedLoads,
     /// The newest word of the loads of other data centres.
-    group_loads: BTreeMap<DataCentreId, HeardLoads>,
+    group_loads: BTreeMap<DataCentreId, ReceivedLoads>,
     /// Addresses that were named, and when last.
-    named: BTreeMap<SocketAddr, Millis>,
+    known_addresses: BTreeMap<SocketAddr, Millis>,
     seeds: BTreeSet<SocketAddr>,
     /// Addresses that peers named and that are none of the gateways that this
     /// one hears of: it may stand in a group that lost the others.
-    unmet: BTreeSet<SocketAddr>,
-    standing: Standing,
-    words: WordOrder,
-    beats: u64,
+    uncontacted: BTreeSet<SocketAddr>,
+    hierarchy: Hierarchy,
+    message_order: WordOrder,
+    heartbeat_rounds: u64,
 }
 
 impl Roster {
     /// Makes the roster of a gateway that has heard of nobody.
     pub fn new(
-        own: Own,
+        own: LocalMember,
         silent_ms: u64,
         seeds: impl IntoIterator<Item = SocketAddr>,
     ) -> Self {
         let mut roster = Self {
-            standing: Standing::alone(&own),
+            hierarchy: Hierarchy::new(&own),
             own,
             silent_ms,
             peers: BTreeMap::new(),
             summaries: BTreeMap::new(),
-            told_by: BTreeMap::new(),
+            members_by_hub: BTreeMap::new(),
             digests: BTreeMap::new(),
-            load_sums: HeardLoads::default(),
+            load_sums: ReceivedLoads::default(),
             group_loads: BTreeMap::new(),
-            named: BTreeMap::new(),
+            known_addresses: BTreeMap::new(),
             seeds: BTreeSet::new(),
-            unmet: BTreeSet::new(),
-            words: WordOrder::default(),
-            beats: 0,
+            uncontacted: BTreeSet::new(),
+            message_order: WordOrder::default(),
+            heartbeat_rounds: 0,
         };
         roster.set_seeds(seeds);
         roster
@@ -141,7 +141,7 @@
     }
 
     /// Takes in a heartbeat; tells whether the gateway was not there before.
-    pub fn heard(
+    pub fn on_heartbeat(
         &mut self,
         from: SocketAddr,
         heartbeat: Heartbeat,
@@ -149,13 +149,13 @@
     ) -> bool {
         for address in &heartbeat.known {
             if *address != self.own.heartbeats {
-                self.named.entry(*address).or_insert(now);
-                if !self.standing.has(address) {
-                    self.unmet.insert(*address);
+                self.known_addresses.entry(*address).or_insert(now);
+                if !self.hierarchy.contains(address) {
+                    self.uncontacted.insert(*address);
                 }
             }
         }
-        self.named.insert(from, now);
+        self.known_addresses.insert(from, now);
         let id = heartbeat.instance.clone();
         let known = self.peers.get(&id);
         let is_older = known.is_some_and(|peer| {
@@ -165,85 +165,87 @@
         if is_older {
             return false;
         }
-        self.standing.heard(from, now);
+        self.hierarchy.record_receipt(from, now);
         let silent_ms = self.silent_ms;
         let is_new = known.is_none_or(|peer| {
             peer.heartbeat.start != heartbeat.start
-                || now.since(peer.heard) >= silent_ms
+                || now.since(peer.received_at) >= silent_ms
         });
-        let peer = Peer { address: from, heartbeat, heard: now };
+        let peer = Peer { address: from, heartbeat, received_at: now };
         self.peers.insert(id, peer);
         is_new
     }
 
     /// Takes in the number of a gateway's word; tells whether the word is to
     /// be taken in: none that is newer was heard of that gateway.
-    pub fn takes(
+    pub fn accept_number(
         &mut self,
         from: SocketAddr,
         number: (Audience, WordNumber),
         now: Millis,
     ) -> bool {
-        self.words.take(from, number, now)
+        self.message_order.take(from, number, now)
     }
 
     /// Takes in what a hub says to its group; tells whether something of what
     /// the hub told of gateways was missed.
-    pub fn summed_up(
+    pub fn on_summary(
         &mut self,
         from: SocketAddr,
         mut summary: Summary,
         now: Millis,
     ) -> bool {
-        self.standing.heard(from, now);
+        self.hierarchy.record_receipt(from, now);
         if !summary.loads.is_empty() {
             let loads = std::mem::take(&mut summary.loads);
-            self.load_sums_heard(LoadNews::of_all(loads), now);
+            self.on_load_update(LoadNews::of_all(loads), now);
         }
         let members = std::mem::take(&mut summary.members);
-        let told = self.told_by.entry(from).or_default();
-        let is_missing = told.hear(summary.number.start, &members);
-        self.named_by(&members.changed, now);
-        self.summaries.insert(from, Heard { word: summary, at: now });
+        let told = self.members_by_hub.entry(from).or_default();
+        let is_missing = told.apply_changes(summary.number.start, &members);
+        self.note_addresses(&members.changed, now);
+        self.summaries
+            .insert(from, HubReport { report: summary, received_at: now });
         is_missing
     }
 
     /// Takes in a part of the gateways that a hub told of.
-    pub fn members_heard(
+    pub fn on_member_part(
         &mut self,
         from: SocketAddr,
         part: &MemberPart,
         now: Millis,
     ) {
-        if let Some(told) = self.told_by.get_mut(&from) {
-            told.hear_part(part);
-            self.named_by(&part.members, now);
+        if let Some(told) = self.members_by_hub.get_mut(&from) {
+            told.apply_part(part);
+            self.note_addresses(&part.members, now);
         }
     }
 
     /// Notes the addresses of gateways that a hub names.
-    fn named_by(&mut self, list: &MemberList, now: Millis) {
+    fn note_addresses(&mut self, list: &MemberList, now: Millis) {
         for member in &list.members {
             if member.heartbeats != self.own.heartbeats {
-                self.named.insert(member.heartbeats, now);
+                self.known_addresses.insert(member.heartbeats, now);
             }
         }
     }
 
     /// Takes in what a hub of another data centre says.
-    pub fn digest_heard(
+    pub fn on_digest(
         &mut self,
         from: SocketAddr,
         digest: Digest,
         now: Millis,
     ) {
-        self.standing.heard(from, now);
-        self.named_by(&digest.members, now);
-        self.digests.insert(from, Heard { word: digest, at: now });
+        self.hierarchy.record_receipt(from, now);
+        self.note_addresses(&digest.members, now);
+        self.digests
+            .insert(from, HubReport { report: digest, received_at: now });
     }
 
     /// Takes in what a gateway has under way, between its heartbeats.
-    pub fn load_heard(&mut self, report: LoadReport, now: Millis) {
+    pub fn on_load_report(&mut self, report: LoadReport, now: Millis) {
         let Some(peer) = self.peers.get_mut(&report.instance) else { return };
         let heartbeat = &mut peer.heartbeat;
         let is_next = heartbeat.start == report.start
@@ -251,64 +253,68 @@
         if is_next {
             heartbeat.sequence = report.sequence;
             heartbeat.loads = report.loads;
-            peer.heard = now;
+            peer.received_at = now;
         }
     }
 
     /// Takes in what all gateways have under way, as a hub says.
-    pub fn load_sums_heard(&mut self, news: LoadNews, now: Millis) {
-        self.load_sums.hear(news, now);
+    pub fn on_load_update(&mut self, news: LoadNews, now: Millis) {
+        self.load_sums.apply(news, now);
     }
 
     /// Takes in what the gateways of another data centre have under way.
-    pub fn group_loads_heard(&mut self, group: GroupLoads, now: Millis) {
+    pub fn on_group_loads(&mut self, group: GroupLoads, now: Millis) {
         let heard = self.group_loads.entry(group.data_centre).or_default();
-        heard.hear(group.news, now);
+        heard.apply(group.news, now);
     }
 
     /// Lets time pass: forgets the silent, and works out anew who does what.
     ///
     /// Returns whether the gateways that callers may be sent to are others
     /// than before.
-    pub fn tick(&mut self, own_word: OwnWord, now: Millis) -> bool {
-        if !self.standing.is_due(now) {
+    pub fn tick(&mut self, local_report: LocalReport, now: Millis) -> bool {
+        if !self.hierarchy.is_due(now) {
             return false;
         }
-        self.forget_silent(now);
-        self.work_out(own_word, now)
+        self.prune_silent(now);
+        self.recompute(local_report, now)
     }
 
-    fn forget_silent(&mut self, now: Millis) {
-        let young = |heard: Millis| now.since(heard) < FORGET_AFTER_MS;
-        self.peers.retain(|_, peer| young(peer.heard));
-        let standing = &self.standing;
-        self.named.retain(|address, heard| {
-            if standing.has(address) {
+    fn prune_silent(&mut self, now: Millis) {
+        let is_recent = |heard: Millis| now.since(heard) < FORGET_AFTER_MS;
+        self.peers.retain(|_, peer| is_recent(peer.received_at));
+        let hierarchy = &self.hierarchy;
+        self.known_addresses.retain(|address, heard| {
+            if hierarchy.contains(address) {
                 *heard = now;
             }
-            young(*heard)
+            is_recent(*heard)
         });
-        self.summaries.retain(|_, one| young(one.at));
+        self.summaries.retain(|_, one| is_recent(one.received_at));
         let summaries = &self.summaries;
-        self.told_by.retain(|hub, _| summaries.contains_key(hub));
-        self.digests.retain(|_, one| young(one.at));
-        self.words.forget_silent(FORGET_AFTER_MS, now);
+        self.members_by_hub.retain(|hub, _| summaries.contains_key(hub));
+        self.digests.retain(|_, one| is_recent(one.received_at));
+        self.message_order.forget_silent(FORGET_AFTER_MS, now);
     }
 
     /// Works out anew who does what; returns whether the gateways that
     /// callers may be sent to are others than before.
-    pub fn work_out(&mut self, own_word: OwnWord, now: Millis) -> bool {
-        let mut members = self.heard_members(now);
+    pub fn recompute(
+        &mut self,
+        local_report: LocalReport,
+        now: Millis,
+    ) -> bool {
+        let mut members = self.known_members(now);
         let own = Member {
             rank: self.own.rank,
-            requests: own_word.requests,
+            requests: local_report.requests,
             data_centre: self.own.data_centre.clone(),
-            life: own_word.life,
-            store: own_word.store,
+            life: local_report.life,
+            store: local_report.store,
         };
         members.insert(self.own.heartbeats, own);
         let before = self.ready_addresses();
-        self.standing.work_out(StandingInputs {
+        self.hierarchy.recompute(HierarchyInputs {
             members,
             own: &self.own,
             silent_ms: self.silent_ms,
@@ -318,54 +324,54 @@
     }
 
     /// Returns the others that are heard of: directly, or from hubs.
-    fn heard_members(&self, now: Millis) -> BTreeMap<SocketAddr, Member> {
+    fn known_members(&self, now: Millis) -> BTreeMap<SocketAddr, Member> {
         let mut members = BTreeMap::new();
-        if let Some(told) = self.told_members(now) {
+        if let Some(told) = self.longest_hub_table(now) {
             let told = told.iter();
             members.extend(told.map(|(address, one)| (address, one.clone())));
         }
         for digest in self.live_digests(now) {
-            members.extend(standing::members_of(&digest.members));
+            members.extend(hierarchy::members_of(&digest.members));
         }
-        for peer in self.live(now) {
+        for peer in self.live_peers(now) {
             members.insert(peer.address, Member::of(&peer.heartbeat));
         }
         members
     }
 
     fn ready_addresses(&self) -> BTreeSet<SocketAddr> {
-        self.standing.serving().map(|(_, member)| member.requests).collect()
+        self.hierarchy.serving().map(|(_, member)| member.requests).collect()
     }
 
     /// Tells whether there are so many gateways that hubs sum up.
     pub fn has_hubs(&self) -> bool {
-        !self.standing.own_hubs().is_empty()
+        !self.hierarchy.local_hubs().is_empty()
     }
 
     /// Tells whether there are so many gateways that each data centre has
     /// hubs of its own.
     pub fn has_many_groups(&self) -> bool {
-        self.standing.has_many_groups()
+        self.hierarchy.has_many_groups()
     }
 
     /// Returns where hubs of other data centres take digests.
-    pub fn hubs_elsewhere(&self) -> &[SocketAddr] {
-        self.standing.hubs_elsewhere()
+    pub fn remote_hubs(&self) -> &[SocketAddr] {
+        self.hierarchy.remote_hubs()
     }
 
     /// Tells whether this gateway is the greatest hub of its group.
-    pub fn is_foremost_hub(&self) -> bool {
-        self.standing.own_hubs().first() == Some(&self.own.heartbeats)
+    pub fn is_primary_hub(&self) -> bool {
+        self.hierarchy.local_hubs().first() == Some(&self.own.heartbeats)
     }
 
     /// Tells whether this gateway sums up for others.
     pub fn is_hub(&self) -> bool {
-        self.standing.own_hubs().contains(&self.own.heartbeats)
+        self.hierarchy.local_hubs().contains(&self.own.heartbeats)
     }
 
     /// Returns the gateways that callers may be sent to, but for this one.
     pub fn ready(&self) -> Vec<ReadyMember> {
-        let others = self.standing.serving_others();
+        let others = self.hierarchy.serving_others();
         let ready = others.map(|(_, member)| ReadyMember {
             requests: member.requests,
             data_centre: member.data_centre.clone(),
@@ -378,14 +384,17 @@
     ///
     /// Where no regions are declared, gateways of other data centres are not
     /// taken for near.
-    pub fn near_state(&self, topology: &Topology) -> Option<SocketAddr> {
+    pub fn nearby_state_address(
+        &self,
+        topology: &Topology,
+    ) -> Option<SocketAddr> {
         let farthest = match topology.own_region() {
             Some(_) => Distance::SameRegion,
             None => Distance::SameDataCentre,
         };
         let distance_to =
             |member: &Member| topology.distance(&member.data_centre);
-        let others = self.standing.serving_others();
+        let others = self.hierarchy.serving_others();
         let near =
             others.filter(|(_, member)| distance_to(member) <= farthest);
         let least =
@@ -397,58 +406,66 @@
 
     /// Returns where a newer configuration can be read: at one of those that
     /// have the newest, elsewhere than at a peer to avoid if there is one.
-    pub fn with_newer_catalog(
+    pub fn newer_catalog_address(
         &self,
         version: u64,
         avoided: Option<SocketAddr>,
         now: Millis,
     ) -> Option<SocketAddr> {
-        let direct = self.versions(now, |peer| peer.heartbeat.catalog);
-        newer_than(version, avoided, direct.chain(self.hub_catalogs(now)))
+        let direct = self.peer_versions(now, |peer| peer.heartbeat.catalog);
+        address_of_newer(
+            version,
+            avoided,
+            direct.chain(self.hub_catalogs(now)),
+        )
     }
 
     /// Returns where a newer list of upstreams can be read, likewise.
-    pub fn with_newer_listing(
+    pub fn newer_listing_address(
         &self,
         version: u64,
         avoided: Option<SocketAddr>,
         now: Millis,
     ) -> Option<SocketAddr> {
-        let direct = self.versions(now, |peer| peer.heartbeat.listing);
-        newer_than(version, avoided, direct.chain(self.hub_listings(now)))
+        let direct = self.peer_versions(now, |peer| peer.heartbeat.listing);
+        address_of_newer(
+            version,
+            avoided,
+            direct.chain(self.hub_listings(now)),
+        )
     }
 
     /// Returns the versions of something that peers have, and where.
-    fn versions(
+    fn peer_versions(
         &self,
         now: Millis,
         version: impl Fn(&Peer) -> u64,
     ) -> impl Iterator<Item = Newest> {
-        self.live(now).map(move |peer| Newest {
+        self.live_peers(now).map(move |peer| Newest {
             version: version(peer),
             state: peer.heartbeat.state,
         })
     }
 
-    fn live(&self, now: Millis) -> impl Iterator<Item = &Peer> {
+    fn live_peers(&self, now: Millis) -> impl Iterator<Item = &Peer> {
         let silent_ms = self.silent_ms;
         self.peers
             .values()
-            .filter(move |peer| now.since(peer.heard) < silent_ms)
+            .filter(move |peer| now.since(peer.received_at) < silent_ms)
     }
 
     /// Returns the peers of this gateway's group that it hears itself.
-    fn live_in_group(&self, now: Millis) -> impl Iterator<Item = &Peer> {
-        let many = self.standing.has_many_groups();
+    fn live_peers_in_group(&self, now: Millis) -> impl Iterator<Item = &Peer> {
+        let many = self.hierarchy.has_many_groups();
         let own = &self.own.data_centre;
-        self.live(now)
+        self.live_peers(now)
             .filter(move |p| !many || p.heartbeat.data_centre == *own)
     }
 }
 
 /// What this gateway says of itself.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnWord {
+pub struct LocalReport {
     /// Where it takes requests.
     pub requests: SocketAddr,
     /// How far its life has come.
@@ -461,7 +478,7 @@
 ///
 /// Of several that have it any one is taken: who finds it silent finds another
 /// the next time. One to avoid comes last, whatever it has.
-fn newer_than(
+fn address_of_newer(
     version: u64,
     avoided: Option<SocketAddr>,
     all: impl Iterator<Item = Newest>,
--- a/crates/valehold-gateway/src/peers/roster/sums.rs
+++ b/crates/valehold-gateway/src/peers/roster/sums.rs
@@ -8,7 +8,7 @@
     id::UpstreamTag,
 };
 
-use super::{HUBS_KEEP, Roster};
+use super::{HUB_REPORT_TTL_FACTOR, Roster};
 use crate::{
     peers::message::{
         BoundDemand, LoadNews, TagRange, UpstreamLoad, VariantDemand,
@@ -24,13 +24,13 @@
 
 /// What several gateways have under way, as a hub said.
 #[derive(Debug, Clone, Default)]
-pub(super) struct HeardLoads {
+pub(super) struct ReceivedLoads {
     loads: Loads,
     heard: Option<Millis>,
 }
 
-impl HeardLoads {
-    pub(super) fn hear(&mut self, news: LoadNews, now: Millis) {
+impl ReceivedLoads {
+    pub(super) fn apply(&mut self, news: LoadNews, now: Millis) {
         if let Some(whole) = news.whole {
             self.loads.retain(|tag, _| !whole.has(*tag));
         }
@@ -48,56 +48,62 @@
 /// How many upstreams in a row are told with each news although they did not
 /// change. Who lost a datagram is right again when all had their turn: where
 /// more are busy that takes longer, and costs no more.
-const REPEATED_AT_ONCE: usize = 32;
+const REPEATED_PER_UPDATE: usize = 32;
 
 /// What a hub said last, so that it says next what has changed the most.
 #[derive(Debug, Clone, Default)]
-pub struct ToldSums {
-    told: Loads,
+pub struct AdvertisedSums {
+    advertised: Loads,
     /// The last upstream that was repeated; `None` to begin with the first.
-    repeated: Option<UpstreamTag>,
+    last_repeated: Option<UpstreamTag>,
 }
 
-impl ToldSums {
+impl AdvertisedSums {
     /// Returns what to tell of the sums: up to `most` that differ the most
     /// from what was told, and some in turn whether they changed or not.
-    pub fn news(&mut self, sums: &[UpstreamLoad], most: usize) -> LoadNews {
-        let sums = as_loads(sums);
-        let (whole, mut loads) = self.repeat(&sums);
+    pub fn next_update(
+        &mut self,
+        sums: &[UpstreamLoad],
+        most: usize,
+    ) -> LoadNews {
+        let sums = loads_by_upstream(sums);
+        let (whole, mut loads) = self.repeat_next(&sums);
         let mut changed = self.changed(&sums);
         changed.truncate(most);
         for one in &changed {
-            self.told.insert(one.upstream, one.load);
+            self.advertised.insert(one.upstream, one.load);
         }
         loads.extend(changed);
         LoadNews { whole: Some(whole), loads }
     }
 
     /// Takes the upstreams whose turn it is to be told again.
-    fn repeat(&mut self, sums: &Loads) -> (TagRange, Vec<UpstreamLoad>) {
-        let after = self.repeated;
+    fn repeat_next(&mut self, sums: &Loads) -> (TagRange, Vec<UpstreamLoad>) {
+        let after = self.last_repeated;
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut next = sums.range((from, Bound::Unbounded));
-        let some = next.by_ref().take(REPEATED_AT_ONCE);
+        let some = next.by_ref().take(REPEATED_PER_UPDATE);
         let some: Vec<UpstreamLoad> = some.map(as_upstream_load).collect();
         let last = some.last().map(|one| one.upstream);
         let until = last.filter(|_| next.next().is_some());
-        self.repeated = until;
+        self.last_repeated = until;
         let range = TagRange { after, until };
-        self.told.retain(|tag, _| !range.has(*tag));
-        self.told.extend(some.iter().map(|one| (one.upstream, one.load)));
+        self.advertised.retain(|tag, _| !range.has(*tag));
+        self.advertised
+            .extend(some.iter().map(|one| (one.upstream, one.load)));
         (range, some)
     }
 
     /// Returns the loads that are not as told, the greatest changes first.
     fn changed(&self, sums: &Loads) -> Vec<UpstreamLoad> {
         let nothing = Load::default();
-        let done = self.told.keys().filter(|tag| !sums.contains_key(tag));
+        let done =
+            self.advertised.keys().filter(|tag| !sums.contains_key(tag));
         let all = sums.iter().map(|(tag, load)| (*tag, *load));
         let all = all.chain(done.map(|tag| (*tag, nothing)));
         let mut changed: Vec<(u64, UpstreamLoad)> = all
             .map(|(upstream, load)| {
-                let told = self.told.get(&upstream).unwrap_or(&nothing);
+                let told = self.advertised.get(&upstream).unwrap_or(&nothing);
                 let change = load.difference(*told);
                 (change, UpstreamLoad { upstream, load })
             })
@@ -109,7 +115,7 @@
 }
 
 /// Returns loads as a map.
-pub fn as_loads(loads: &[UpstreamLoad]) -> Loads {
+pub fn loads_by_upstream(loads: &[UpstreamLoad]) -> Loads {
     loads.iter().map(|one| (one.upstream, one.load)).collect()
 }
 
@@ -118,10 +124,10 @@
     ///
     /// `told` is what this gateway said last that it has, which hubs add to
     /// their sums.
-    pub fn loads(&self, told: &Loads, now: Millis) -> Loads {
+    pub fn loads_of_others(&self, told: &Loads, now: Millis) -> Loads {
         let sums = &self.load_sums;
         if self.is_hub() || !sums.is_live(self.silent_ms, now) {
-            return self.heard_loads(now);
+            return self.received_loads(now);
         }
         let others = sums.loads.iter().map(|(upstream, load)| {
             let told = told.get(upstream).copied().unwrap_or_default();
@@ -137,9 +143,9 @@
         own: &[UpstreamLoad],
         now: Millis,
     ) -> Vec<UpstreamLoad> {
-        let mut loads = self.heard_loads(now);
+        let mut loads = self.received_loads(now);
         add(&mut loads, own);
-        as_list(&loads)
+        load_list(&loads)
     }
 
     /// Returns what the gateways of this one's group have under way, `own`
@@ -149,31 +155,31 @@
         own: &[UpstreamLoad],
         now: Millis,
     ) -> Vec<UpstreamLoad> {
-        let mut loads = self.heard_in_group(now);
+        let mut loads = self.received_group_loads(now);
         add(&mut loads, own);
-        as_list(&loads)
+        load_list(&loads)
     }
 
     /// Returns what is heard of others: of each in this gateway's group, and
     /// of the other groups as wholes.
-    fn heard_loads(&self, now: Millis) -> Loads {
-        let mut sum = self.heard_in_group(now);
-        if !self.standing.has_many_groups() {
+    fn received_loads(&self, now: Millis) -> Loads {
+        let mut sum = self.received_group_loads(now);
+        if !self.hierarchy.has_many_groups() {
             return sum;
         }
-        let keep_ms = self.silent_ms * HUBS_KEEP;
+        let keep_ms = self.silent_ms * HUB_REPORT_TTL_FACTOR;
         let others = self.group_loads.iter().filter(|(group, heard)| {
             **group != self.own.data_centre && heard.is_live(keep_ms, now)
         });
         for (_, heard) in others {
-            add(&mut sum, &as_list(&heard.loads));
+            add(&mut sum, &load_list(&heard.loads));
         }
         sum
     }
 
-    fn heard_in_group(&self, now: Millis) -> Loads {
+    fn received_group_loads(&self, now: Millis) -> Loads {
         let mut sum = Loads::new();
-        for peer in self.live_in_group(now) {
+        for peer in self.live_peers_in_group(now) {
             add(&mut sum, &peer.heartbeat.loads);
         }
         sum
@@ -184,17 +190,17 @@
     pub fn sum_demand(&self, own: &[BoundDemand], now: Millis) -> DemandSum {
         let mut sum = DemandSum::new();
         // Digests of its own group have this gateway's demand in them.
-        let by_digests = self.standing.has_many_groups() && !self.is_hub();
-        if !by_digests {
+        let uses_digests = self.hierarchy.has_many_groups() && !self.is_hub();
+        if !uses_digests {
             add_demand(&mut sum, own);
-            let peers = self.live_in_group(now);
+            let peers = self.live_peers_in_group(now);
             for peer in peers {
                 add_demand(&mut sum, &peer.heartbeat.demand);
             }
         }
         for digest in self.live_digests(now) {
             let is_own = digest.data_centre == self.own.data_centre;
-            if by_digests || !is_own {
+            if uses_digests || !is_own {
                 add_demand(&mut sum, &digest.demand);
             }
         }
@@ -209,7 +215,7 @@
     ) -> Vec<BoundDemand> {
         let mut sum = DemandSum::new();
         add_demand(&mut sum, own);
-        for peer in self.live_in_group(now) {
+        for peer in self.live_peers_in_group(now) {
             add_demand(&mut sum, &peer.heartbeat.demand);
         }
         let one = |(bound, variants): (_, BTreeMap<_, _>)| BoundDemand {
@@ -228,7 +234,7 @@
 }
 
 /// Returns loads as a list.
-pub fn as_list(loads: &Loads) -> Vec<UpstreamLoad> {
+pub fn load_list(loads: &Loads) -> Vec<UpstreamLoad> {
     loads.iter().map(as_upstream_load).collect()
 }
 
--- a/crates/valehold-gateway/src/peers/roster/targets.rs
+++ b/crates/valehold-gateway/src/peers/roster/targets.rs
@@ -5,33 +5,33 @@
 use rand::seq::IteratorRandom;
 use valehold_core::Millis;
 
-use super::{Roster, standing::Member};
+use super::{Roster, hierarchy::Member};
 
 /// How many gateways' addresses a heartbeat carries at the most.
-const MOST_KNOWN: usize = 16;
+const MAX_ADVERTISED_ADDRESSES: usize = 16;
 
 /// How many gateways are sent heartbeats at once at the most where no hubs
 /// are known: what a gateway that has just started, or lost its hubs, needs
 /// to find the others within a few beats.
-const MOST_DIRECT: usize = 24;
+const MAX_DIRECT_TARGETS: usize = 24;
 
 /// How often seeds are sent heartbeats once others are known, in beats.
-const SEEDS_EVERY: u64 = 8;
+const SEED_INTERVAL: u64 = 8;
 
 /// The same for a gateway that has just started. Gateways that start at the
 /// same time find one another in groups, which meet at the seeds.
-const SEEDS_EVERY_AT_FIRST: u64 = 2;
+const STARTUP_SEED_INTERVAL: u64 = 2;
 
 /// For how many beats a gateway has just started.
-const FIRST_BEATS: u64 = 24;
+const STARTUP_ROUNDS: u64 = 24;
 
 /// How many gateways that were named and are not met are sent a heartbeat
 /// with each beat.
-const MET_EACH_BEAT: usize = 4;
+const CONTACTED_PER_ROUND: usize = 4;
 
 /// Where a message for all gateways goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Spread {
+pub struct BroadcastTargets {
     /// Gateways that it is sent to.
     pub direct: BTreeSet<SocketAddr>,
     /// Hubs that pass it on to their groups.
@@ -41,25 +41,25 @@
 impl Roster {
     /// Returns where this beat's heartbeat goes.
     pub fn heartbeat_targets(&mut self, now: Millis) -> BTreeSet<SocketAddr> {
-        self.beats += 1;
-        let hubs = self.standing.own_hubs();
+        self.heartbeat_rounds += 1;
+        let hubs = self.hierarchy.local_hubs();
         if hubs.is_empty() {
             return self.direct_targets();
         }
         let mut targets: BTreeSet<SocketAddr> = hubs.iter().copied().collect();
-        if !self.standing.has_many_groups() {
-            targets.extend(self.holder(now));
+        if !self.hierarchy.has_many_groups() {
+            targets.extend(self.lease_holder(now));
         }
-        let seeds_every = match self.beats {
-            ..FIRST_BEATS => SEEDS_EVERY_AT_FIRST,
-            _ => SEEDS_EVERY,
+        let seed_interval = match self.heartbeat_rounds {
+            ..STARTUP_ROUNDS => STARTUP_SEED_INTERVAL,
+            _ => SEED_INTERVAL,
         };
-        if self.beats.is_multiple_of(seeds_every) {
+        if self.heartbeat_rounds.is_multiple_of(seed_interval) {
             targets.extend(&self.seeds);
         }
-        self.unmet.retain(|address| !self.standing.has(address));
-        for _ in 0..MET_EACH_BEAT {
-            targets.extend(self.unmet.pop_first());
+        self.uncontacted.retain(|address| !self.hierarchy.contains(address));
+        for _ in 0..CONTACTED_PER_ROUND {
+            targets.extend(self.uncontacted.pop_first());
         }
         targets.remove(&self.own.heartbeats);
         targets
@@ -68,22 +68,23 @@
     /// Returns seeds and all that were named, or some where those are many:
     /// where a heartbeat goes while no hubs are known.
     pub fn direct_targets(&self) -> BTreeSet<SocketAddr> {
-        let named = self.named.keys().copied();
-        let some = named.choose_multiple(&mut rand::rng(), MOST_DIRECT);
+        let known_addresses = self.known_addresses.keys().copied();
+        let some = known_addresses
+            .choose_multiple(&mut rand::rng(), MAX_DIRECT_TARGETS);
         some.into_iter().chain(self.seeds.iter().copied()).collect()
     }
 
     /// Returns where a message for all gateways goes.
-    pub fn spread(&self) -> Spread {
+    pub fn broadcast_targets(&self) -> BroadcastTargets {
         let own = self.own.heartbeats;
-        let mut spread = match self.standing.has_many_groups() {
-            false => Spread {
-                direct: self.standing.addresses().collect(),
+        let mut spread = match self.hierarchy.has_many_groups() {
+            false => BroadcastTargets {
+                direct: self.hierarchy.addresses().collect(),
                 hubs: BTreeSet::new(),
             },
-            true => Spread {
-                direct: self.group_targets(),
-                hubs: self.standing.all_hubs().collect(),
+            true => BroadcastTargets {
+                direct: self.relay_targets(),
+                hubs: self.hierarchy.all_hubs().collect(),
             },
         };
         spread.direct.remove(&own);
@@ -93,9 +94,9 @@
 
     /// Returns the gateways of this one's group to which it passes on, as a
     /// hub, what is for all; none if it is no hub.
-    pub fn group_targets(&self) -> BTreeSet<SocketAddr> {
+    pub fn relay_targets(&self) -> BTreeSet<SocketAddr> {
         match self.is_hub() {
-            true => self.standing.group_without_hubs().collect(),
+            true => self.hierarchy.group_without_hubs().collect(),
             false => BTreeSet::new(),
         }
     }
@@ -103,17 +104,17 @@
     /// Returns the gateways to which this one's summaries go, if it is a hub.
     pub fn summary_targets(&self) -> BTreeSet<SocketAddr> {
         let mut targets: BTreeSet<SocketAddr> =
-            self.standing.group().collect();
+            self.hierarchy.group().collect();
         targets.remove(&self.own.heartbeats);
         targets
     }
 
     /// Returns the addresses that a heartbeat carries: hubs before others,
     /// so that who has just come finds its own.
-    pub fn known(&self, now: Millis) -> Vec<SocketAddr> {
-        let hubs = self.standing.all_hubs();
-        let live = self.live(now).map(|peer| peer.address);
-        hubs.chain(live).take(MOST_KNOWN).collect()
+    pub fn advertised_addresses(&self, now: Millis) -> Vec<SocketAddr> {
+        let hubs = self.hierarchy.all_hubs();
+        let live = self.live_peers(now).map(|peer| peer.address);
+        hubs.chain(live).take(MAX_ADVERTISED_ADDRESSES).collect()
     }
 
     /// Returns every gateway that does not leave, this one among them.
@@ -127,14 +128,14 @@
     }
 
     fn members(&self, which: impl Fn(&Member) -> bool) -> Vec<SocketAddr> {
-        let all = self.standing.all();
+        let all = self.hierarchy.all();
         let found = all.filter(|(_, member)| which(member));
         found.map(|(address, _)| address).collect()
     }
 
     /// Returns where the other hubs of this one's group take heartbeats.
-    pub fn other_own_hubs(&self) -> BTreeSet<SocketAddr> {
-        let hubs = self.standing.own_hubs().iter().copied();
+    pub fn other_local_hubs(&self) -> BTreeSet<SocketAddr> {
+        let hubs = self.hierarchy.local_hubs().iter().copied();
         hubs.filter(|hub| *hub != self.own.heartbeats).collect()
     }
 }
--- a/crates/valehold-gateway/tests/peer_bytes.rs
+++ b/crates/valehold-gateway/tests/peer_bytes.rs
@@ -19,7 +19,9 @@
             GroupLoads, HubNews, LeaseWord, LoadNews, LoadReport, MemberPart,
             Rank, StoreSight, Summary, UpstreamLoad,
         },
-        roster::{Own, OwnWord, members::ToldMembers, sums::Loads},
+        roster::{
+            LocalMember, LocalReport, members::AdvertisedMembers, sums::Loads,
+        },
         state::PeerState,
     },
     view::{Life, Load},
@@ -82,7 +84,7 @@
 }
 
 fn roster() -> Roster {
-    let own = Own {
+    let own = LocalMember {
         heartbeats: address(1),
         state: address(1),
         data_centre: DataCentreId::new("north"),
@@ -90,30 +92,35 @@
     };
     let mut roster = Roster::new(own, 1_000, [address(2)]);
     for other in 2..40 {
-        roster.heard(address(other), heartbeat(other), Millis::new(500));
+        roster.on_heartbeat(
+            address(other),
+            heartbeat(other),
+            Millis::new(500),
+        );
     }
-    roster.work_out(own_word(), Millis::new(500));
+    roster.recompute(local_report(), Millis::new(500));
     roster
 }
 
-fn own_word() -> OwnWord {
-    OwnWord {
+fn local_report() -> LocalReport {
+    LocalReport {
         requests: address(1),
         life: Life::Serving,
         store: StoreSight::Answers,
     }
 }
 
-fn told(roster: &Roster, own: &Heartbeat, now: Millis) -> ToldMembers {
-    let mut told = ToldMembers::default();
-    told.news(&roster.hub_members(own, now), usize::MAX);
+fn told(roster: &Roster, own: &Heartbeat, now: Millis) -> AdvertisedMembers {
+    let mut told = AdvertisedMembers::default();
+    told.next_update(&roster.members_to_advertise(own, now), usize::MAX);
     told
 }
 
 fn summary(roster: &Roster, own: &Heartbeat, now: Millis) -> Summary {
-    let members = roster.hub_members(own, now);
-    let members = ToldMembers::default().news(&members, usize::MAX);
-    roster.sum_up(own, members, None, now)
+    let members = roster.members_to_advertise(own, now);
+    let members =
+        AdvertisedMembers::default().next_update(&members, usize::MAX);
+    roster.summary(own, members, None, now)
 }
 
 fn part(roster: &Roster, own: &Heartbeat, now: Millis) -> MemberPart {
@@ -179,34 +186,34 @@
 fn hear(roster: &mut Roster, message: Message, now: Millis) {
     let from = address(40);
     if let Some(number) = message.number() {
-        roster.takes(from, number, now);
+        roster.accept_number(from, number, now);
     }
     match message {
         Message::Heartbeat(heartbeat) => {
-            roster.heard(from, *heartbeat, now);
+            roster.on_heartbeat(from, *heartbeat, now);
         }
         Message::Summary(summary) => {
-            roster.summed_up(from, *summary, now);
+            roster.on_summary(from, *summary, now);
         }
-        Message::Members(part) => roster.members_heard(from, &part, now),
-        Message::Digest(digest) => roster.digest_heard(from, *digest, now),
-        Message::Loads(report) => roster.load_heard(report, now),
-        Message::HubNews(news) => roster.load_sums_heard(news.loads, now),
-        Message::GroupLoads(group) => roster.group_loads_heard(group, now),
+        Message::Members(part) => roster.on_member_part(from, &part, now),
+        Message::Digest(digest) => roster.on_digest(from, *digest, now),
+        Message::Loads(report) => roster.on_load_report(report, now),
+        Message::HubNews(news) => roster.on_load_update(news.loads, now),
+        Message::GroupLoads(group) => roster.on_group_loads(group, now),
         _ => {}
     }
 }
 
 /// Asks a roster all that control does.
 fn ask(roster: &mut Roster, now: Millis) {
-    roster.tick(own_word(), now);
-    roster.work_out(own_word(), now);
+    roster.tick(local_report(), now);
+    roster.recompute(local_report(), now);
     let own = heartbeat(1);
-    roster.loads(&Loads::new(), now);
+    roster.loads_of_others(&Loads::new(), now);
     roster.sum_loads(&own.loads, now);
     roster.sum_demand(&own.demand, now);
-    roster.rumours(now);
-    roster.holder(now);
+    roster.lease_reports(now);
+    roster.lease_holder(now);
     summary(roster, &own, now);
     roster.digest(&own, Vec::new(), now);
     roster.heartbeat_targets(now);
@@ -242,13 +249,13 @@
         for one in &mut heartbeat.loads {
             one.load = Load { running: u32::MAX, waiting_tokens: u64::MAX };
         }
-        roster.heard(address(number), heartbeat, now);
+        roster.on_heartbeat(address(number), heartbeat, now);
     }
     let mut summary = summary(&roster, &heartbeat(40), now);
     for rumour in &mut summary.lease {
         rumour.age_ms = u64::MAX;
     }
-    roster.summed_up(address(40), summary, now);
+    roster.on_summary(address(40), summary, now);
     ask(&mut roster, now + 100);
     expect_that!(roster.ready(), not(is_empty()));
 }
