--- a/crates/valehold-gateway/src/peers/roster/mod.rs
+++ b/crates/valehold-gateway/src/peers/roster/mod.rs
@@ -1,17 +1,20 @@
-//! The gateways that this one has heard of.
+//! The roster: the gateways that this gateway knows, and the reports received
+//! from them.
 //!
-//! Where there are few, each hears every other. Where there are more, each
-//! tells a few hubs, the greatest by rank, and the hubs tell all. Where there
-//! are very many, each data centre has hubs of its own: a gateway tells those
-//! of its data centre, which tell one another what they hear, so that what
-//! one gateway sends and takes does not grow with the fleet.
+//! The size of the fleet decides how reports travel. In a small fleet, all
+//! gateways send heartbeats to each other. In a larger fleet, each gateway
+//! reports to a few hubs, the gateways of highest rank, and the hubs send
+//! summaries to all gateways. In a very large fleet, each data centre forms a
+//! group with hubs of its own: a gateway reports to the hubs of its data
+//! centre, and the hubs exchange digests of their groups, so that the traffic
+//! of one gateway does not grow with the fleet.
 //!
-//! - [`standing`]: who does what, worked out anew as time passes.
-//! - [`members`]: what a hub tells of who is there.
-//! - [`duties`]: this gateway's own part in it.
-//! - [`targets`]: whom it sends what.
-//! - [`sums`]: what all gateways have under way and are asked for.
-//! - `words`: what hubs say, and what is said of the lease.
+//! - [`hierarchy`]: which gateways exist and which of them are hubs.
+//! - [`members`]: the member lists that hubs advertise, sent as changes.
+//! - [`duties`]: the duties of this gateway for the fleet.
+//! - [`targets`]: the recipients of each kind of message.
+//! - [`sums`]: the in-flight load and the demand of all gateways.
+//! - `hub_reports`: summaries and digests of hubs, and reports on the lease.
 
 pub mod duties;
 pub mod hierarchy;
@@ -45,12 +48,13 @@
 use super::number::{Audience, WordNumber, WordOrder};
 use crate::view::{Life, ReadyMember};
 
-/// For how long a silent gateway is still sent heartbeats, in ms.
+/// How long a silent gateway still receives heartbeats, in ms.
 const FORGET_AFTER_MS: u64 = 60_000;
 
-/// How many times longer than a gateway's own word that of a hub is kept: it
-/// takes up to three beats from a gateway over hubs to all, and a hub that
-/// falls silent is replaced after one span.
+/// Factor by which reports of hubs outlive reports of single gateways, which
+/// expire after `silent_ms`. A report takes up to three heartbeat intervals
+/// from a gateway through hubs to all others, and a silent hub is replaced
+/// after one `silent_ms`.
 const HUB_REPORT_TTL_FACTOR: u64 = 2;
 
 #[derive(Debug, Clone)]
@@ -60,47 +64,49 @@
     received_at: Millis,
 }
 
-/// What a hub said, and when.
+/// A message from a hub, with the time of its receipt.
 #[derive(Debug, Clone)]
 struct HubReport<T> {
     report: T,
     received_at: Millis,
 }
 
-/// What this gateway is among the others.
+/// The addresses, the data centre and the rank of this gateway.
 #[derive(Debug, Clone)]
 pub struct LocalMember {
-    /// Where it takes heartbeats.
+    /// The address at which this gateway receives heartbeats.
     pub heartbeats: SocketAddr,
-    /// Where peers read its state.
+    /// The address at which peers read the state of this gateway.
     pub state: SocketAddr,
-    /// The data centre that it stands in.
+    /// The data centre of this gateway.
     pub data_centre: DataCentreId,
-    /// How suited it is to work for the others.
+    /// The rank that decides which duties this gateway has for the fleet.
     pub rank: Rank,
 }
 
-/// The gateways that this one has heard of.
+/// The gateways that this gateway knows, and the reports received from them.
 #[derive(Debug)]
 pub struct Roster {
     own: LocalMember,
     silent_ms: u64,
     peers: BTreeMap<InstanceId, Peer>,
-    /// Summaries, by their hubs' addresses.
+    /// The newest summary of each hub, by the hub's address.
     summaries: BTreeMap<SocketAddr, HubReport<Summary>>,
-    /// The gateways that hubs told of, by the hubs' addresses.
+    /// The members that each hub advertised, by the hub's address.
     members_by_hub: BTreeMap<SocketAddr, ReceivedMembers>,
-    /// What hubs of other data centres say, by their addresses.
+    /// The newest digest of each primary hub, by the hub's address.
     digests: BTreeMap<SocketAddr, HubReport<Digest>>,
-    /// The newest word of all loads, from a summary or between summaries.
+    /// The newest in-flight loads of all gateways, from a summary or from an
+    /// update between summaries.
     load_sums: ReceivedLoads,
-    /// The newest word of the loads of other data centres.
+    /// The newest in-flight loads of each other data centre.
     group_loads: BTreeMap<DataCentreId, ReceivedLoads>,
-    /// Addresses that were named, and when last.
+    /// Known heartbeat addresses, and when each was last refreshed.
     known_addresses: BTreeMap<SocketAddr, Millis>,
     seeds: BTreeSet<SocketAddr>,
-    /// Addresses that peers named and that are none of the gateways that this
-    /// one hears of: it may stand in a group that lost the others.
+    /// Addresses that peers reported and that belong to no member of the
+    /// hierarchy. This gateway contacts these addresses, because its own group
+    /// may have lost contact with the others.
     uncontacted: BTreeSet<SocketAddr>,
     hierarchy: Hierarchy,
     message_order: WordOrder,
@@ -108,7 +114,7 @@
 }
 
 impl Roster {
-    /// Makes the roster of a gateway that has heard of nobody.
+    /// Creates the roster of a gateway that knows no other gateway yet.
     pub fn new(
         own: LocalMember,
         silent_ms: u64,
@@ -134,13 +140,17 @@
         roster
     }
 
-    /// Takes other seeds.
+    /// Replaces the seeds. The address of this gateway itself is left out.
     pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         let own = self.own.heartbeats;
         self.seeds = seeds.into_iter().filter(|seed| *seed != own).collect();
     }
 
-    /// Takes in a heartbeat; tells whether the gateway was not there before.
+    /// Records a heartbeat. Returns whether its sender is new: unknown,
+    /// restarted, or silent for `silent_ms` before.
+    ///
+    /// A heartbeat that is no newer than the last one of the same start is
+    /// discarded; only the addresses in it are recorded.
     pub fn on_heartbeat(
         &mut self,
         from: SocketAddr,
@@ -157,17 +167,17 @@
         }
         self.known_addresses.insert(from, now);
         let id = heartbeat.instance.clone();
-        let known = self.peers.get(&id);
-        let is_older = known.is_some_and(|peer| {
+        let previous = self.peers.get(&id);
+        let is_outdated = previous.is_some_and(|peer| {
             peer.heartbeat.start == heartbeat.start
                 && peer.heartbeat.sequence >= heartbeat.sequence
         });
-        if is_older {
+        if is_outdated {
             return false;
         }
         self.hierarchy.record_receipt(from, now);
         let silent_ms = self.silent_ms;
-        let is_new = known.is_none_or(|peer| {
+        let is_new = previous.is_none_or(|peer| {
             peer.heartbeat.start != heartbeat.start
                 || now.since(peer.received_at) >= silent_ms
         });
@@ -176,8 +186,9 @@
         is_new
     }
 
-    /// Takes in the number of a gateway's word; tells whether the word is to
-    /// be taken in: none that is newer was heard of that gateway.
+    /// Checks and records the number of a message. Returns `false` if the
+    /// message must be discarded, because the same gateway sent this message
+    /// or a newer one before.
     pub fn accept_number(
         &mut self,
         from: SocketAddr,
@@ -187,8 +198,8 @@
         self.message_order.take(from, number, now)
     }
 
-    /// Takes in what a hub says to its group; tells whether something of what
-    /// the hub told of gateways was missed.
+    /// Records the summary of a hub of this gateway's group. Returns whether
+    /// member changes that the hub sent earlier are missing.
     pub fn on_summary(
         &mut self,
         from: SocketAddr,
@@ -201,28 +212,30 @@
             self.on_load_update(LoadNews::of_all(loads), now);
         }
         let members = std::mem::take(&mut summary.members);
-        let told = self.members_by_hub.entry(from).or_default();
-        let is_missing = told.apply_changes(summary.number.start, &members);
+        let received = self.members_by_hub.entry(from).or_default();
+        let is_missing =
+            received.apply_changes(summary.number.start, &members);
         self.note_addresses(&members.changed, now);
         self.summaries
             .insert(from, HubReport { report: summary, received_at: now });
         is_missing
     }
 
-    /// Takes in a part of the gateways that a hub told of.
+    /// Records one part of a hub's full member list. Ignores the part if no
+    /// summary of the hub was received before.
     pub fn on_member_part(
         &mut self,
         from: SocketAddr,
         part: &MemberPart,
         now: Millis,
     ) {
-        if let Some(told) = self.members_by_hub.get_mut(&from) {
-            told.apply_part(part);
+        if let Some(received) = self.members_by_hub.get_mut(&from) {
+            received.apply_part(part);
             self.note_addresses(&part.members, now);
         }
     }
 
-    /// Notes the addresses of gateways that a hub names.
+    /// Records the heartbeat addresses of listed members as known.
     fn note_addresses(&mut self, list: &MemberList, now: Millis) {
         for member in &list.members {
             if member.heartbeats != self.own.heartbeats {
@@ -231,7 +244,7 @@
         }
     }
 
-    /// Takes in what a hub of another data centre says.
+    /// Records the digest that a primary hub sent of its group.
     pub fn on_digest(
         &mut self,
         from: SocketAddr,
@@ -244,7 +257,9 @@
             .insert(from, HubReport { report: digest, received_at: now });
     }
 
-    /// Takes in what a gateway has under way, between its heartbeats.
+    /// Records the in-flight load that a gateway reports between its
+    /// heartbeats. Ignores outdated reports, and reports of a gateway or a
+    /// start from which no heartbeat was received.
     pub fn on_load_report(&mut self, report: LoadReport, now: Millis) {
         let Some(peer) = self.peers.get_mut(&report.instance) else { return };
         let heartbeat = &mut peer.heartbeat;
@@ -257,21 +272,21 @@
         }
     }
 
-    /// Takes in what all gateways have under way, as a hub says.
-    pub fn on_load_update(&mut self, news: LoadNews, now: Millis) {
-        self.load_sums.apply(news, now);
+    /// Records a hub's update of the in-flight loads of all gateways.
+    pub fn on_load_update(&mut self, update: LoadNews, now: Millis) {
+        self.load_sums.apply(update, now);
     }
 
-    /// Takes in what the gateways of another data centre have under way.
+    /// Records the in-flight loads of another data centre's gateways.
     pub fn on_group_loads(&mut self, group: GroupLoads, now: Millis) {
-        let heard = self.group_loads.entry(group.data_centre).or_default();
-        heard.apply(group.news, now);
+        let received = self.group_loads.entry(group.data_centre).or_default();
+        received.apply(group.news, now);
     }
 
-    /// Lets time pass: forgets the silent, and works out anew who does what.
+    /// Prunes silent gateways and recomputes the hierarchy, if it is due.
     ///
-    /// Returns whether the gateways that callers may be sent to are others
-    /// than before.
+    /// Returns whether the set of gateways that callers may be sent to
+    /// changed.
     pub fn tick(&mut self, local_report: LocalReport, now: Millis) -> bool {
         if !self.hierarchy.is_due(now) {
             return false;
@@ -281,24 +296,24 @@
     }
 
     fn prune_silent(&mut self, now: Millis) {
-        let is_recent = |heard: Millis| now.since(heard) < FORGET_AFTER_MS;
+        let is_recent = |at: Millis| now.since(at) < FORGET_AFTER_MS;
         self.peers.retain(|_, peer| is_recent(peer.received_at));
         let hierarchy = &self.hierarchy;
-        self.known_addresses.retain(|address, heard| {
+        self.known_addresses.retain(|address, refreshed_at| {
             if hierarchy.contains(address) {
-                *heard = now;
+                *refreshed_at = now;
             }
-            is_recent(*heard)
+            is_recent(*refreshed_at)
         });
-        self.summaries.retain(|_, one| is_recent(one.received_at));
+        self.summaries.retain(|_, summary| is_recent(summary.received_at));
         let summaries = &self.summaries;
         self.members_by_hub.retain(|hub, _| summaries.contains_key(hub));
-        self.digests.retain(|_, one| is_recent(one.received_at));
+        self.digests.retain(|_, digest| is_recent(digest.received_at));
         self.message_order.forget_silent(FORGET_AFTER_MS, now);
     }
 
-    /// Works out anew who does what; returns whether the gateways that
-    /// callers may be sent to are others than before.
+    /// Recomputes the hierarchy. Returns whether the set of gateways that
+    /// callers may be sent to changed.
     pub fn recompute(
         &mut self,
         local_report: LocalReport,
@@ -323,12 +338,15 @@
         before != self.ready_addresses()
     }
 
-    /// Returns the others that are heard of: directly, or from hubs.
+    /// Returns the other gateways, known from their own heartbeats or from
+    /// hubs. A gateway's own heartbeat takes precedence.
     fn known_members(&self, now: Millis) -> BTreeMap<SocketAddr, Member> {
         let mut members = BTreeMap::new();
-        if let Some(told) = self.longest_hub_table(now) {
-            let told = told.iter();
-            members.extend(told.map(|(address, one)| (address, one.clone())));
+        if let Some(table) = self.longest_hub_table(now) {
+            let advertised = table.iter();
+            members.extend(
+                advertised.map(|(address, member)| (address, member.clone())),
+            );
         }
         for digest in self.live_digests(now) {
             members.extend(hierarchy::members_of(&digest.members));
@@ -343,33 +361,35 @@
         self.hierarchy.serving().map(|(_, member)| member.requests).collect()
     }
 
-    /// Tells whether there are so many gateways that hubs sum up.
+    /// Returns whether the fleet is large enough for hubs.
     pub fn has_hubs(&self) -> bool {
         !self.hierarchy.local_hubs().is_empty()
     }
 
-    /// Tells whether there are so many gateways that each data centre has
-    /// hubs of its own.
+    /// Returns whether the fleet is large enough that each data centre is a
+    /// group with hubs of its own.
     pub fn has_many_groups(&self) -> bool {
         self.hierarchy.has_many_groups()
     }
 
-    /// Returns where hubs of other data centres take digests.
+    /// Returns the heartbeat addresses of the hubs of other data centres, to
+    /// which digests are sent.
     pub fn remote_hubs(&self) -> &[SocketAddr] {
         self.hierarchy.remote_hubs()
     }
 
-    /// Tells whether this gateway is the greatest hub of its group.
+    /// Returns whether this gateway is the primary hub of its group, the hub
+    /// of highest rank.
     pub fn is_primary_hub(&self) -> bool {
         self.hierarchy.local_hubs().first() == Some(&self.own.heartbeats)
     }
 
-    /// Tells whether this gateway sums up for others.
+    /// Returns whether this gateway is a hub of its group.
     pub fn is_hub(&self) -> bool {
         self.hierarchy.local_hubs().contains(&self.own.heartbeats)
     }
 
-    /// Returns the gateways that callers may be sent to, but for this one.
+    /// Returns the other gateways that callers may be sent to.
     pub fn ready(&self) -> Vec<ReadyMember> {
         let others = self.hierarchy.serving_others();
         let ready = others.map(|(_, member)| ReadyMember {
@@ -379,11 +399,13 @@
         ready.collect()
     }
 
-    /// Returns where some other gateway nearby that serves can be read, if
-    /// hubs tell of one: of this data centre, else of its region.
+    /// Returns the state address of a random gateway among the nearest other
+    /// serving gateways: in this data centre, or else in this region. Returns
+    /// `None` if there is none.
     ///
-    /// Where no regions are declared, gateways of other data centres are not
-    /// taken for near.
+    /// If no regions are declared, only gateways of this data centre count as
+    /// nearby. The address combines the IP address at which the chosen gateway
+    /// receives heartbeats with this gateway's own state port.
     pub fn nearby_state_address(
         &self,
         topology: &Topology,
@@ -395,17 +417,19 @@
         let distance_to =
             |member: &Member| topology.distance(&member.data_centre);
         let others = self.hierarchy.serving_others();
-        let near =
+        let nearby =
             others.filter(|(_, member)| distance_to(member) <= farthest);
-        let least =
-            near.clone().map(|(_, member)| distance_to(member)).min()?;
-        let nearest = near.filter(|(_, member)| distance_to(member) == least);
+        let shortest =
+            nearby.clone().map(|(_, member)| distance_to(member)).min()?;
+        let nearest =
+            nearby.filter(|(_, member)| distance_to(member) == shortest);
         let (address, _) = nearest.choose(&mut rand::rng())?;
         Some(SocketAddr::new(address.ip(), self.own.state.port()))
     }
 
-    /// Returns where a newer configuration can be read: at one of those that
-    /// have the newest, elsewhere than at a peer to avoid if there is one.
+    /// Returns the state address of a gateway that has the newest
+    /// configuration, or `None` if no gateway has one newer than `version`.
+    /// Returns `avoided` only if no other gateway has a newer one.
     pub fn newer_catalog_address(
         &self,
         version: u64,
@@ -420,7 +444,9 @@
         )
     }
 
-    /// Returns where a newer list of upstreams can be read, likewise.
+    /// Returns the state address of a gateway that has the newest list of
+    /// upstreams, by the same rules as
+    /// [`newer_catalog_address`](Self::newer_catalog_address).
     pub fn newer_listing_address(
         &self,
         version: u64,
@@ -435,7 +461,8 @@
         )
     }
 
-    /// Returns the versions of something that peers have, and where.
+    /// Returns a version that each live peer reports, with the state address
+    /// of the peer.
     fn peer_versions(
         &self,
         now: Millis,
@@ -454,39 +481,43 @@
             .filter(move |peer| now.since(peer.received_at) < silent_ms)
     }
 
-    /// Returns the peers of this gateway's group that it hears itself.
+    /// Returns the peers of this gateway's group that send heartbeats to this
+    /// gateway.
     fn live_peers_in_group(&self, now: Millis) -> impl Iterator<Item = &Peer> {
-        let many = self.hierarchy.has_many_groups();
+        let has_many_groups = self.hierarchy.has_many_groups();
         let own = &self.own.data_centre;
-        self.live_peers(now)
-            .filter(move |p| !many || p.heartbeat.data_centre == *own)
+        self.live_peers(now).filter(move |peer| {
+            !has_many_groups || peer.heartbeat.data_centre == *own
+        })
     }
 }
 
-/// What this gateway says of itself.
+/// The part of this gateway's report on itself that changes while it runs.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalReport {
-    /// Where it takes requests.
+    /// The address at which this gateway takes requests.
     pub requests: SocketAddr,
-    /// How far its life has come.
+    /// The stage of this gateway's life.
     pub life: Life,
-    /// Whether the platform's store answers it.
+    /// Whether the platform's store answers this gateway.
     pub store: StoreSight,
 }
 
-/// Returns where the newest can be read of what is newer than a version.
+/// Returns the state address of a gateway with the newest version above
+/// `version`, or `None` if there is no such gateway.
 ///
-/// Of several that have it any one is taken: who finds it silent finds another
-/// the next time. One to avoid comes last, whatever it has.
+/// Of several gateways with the newest version a random one is chosen, so that
+/// a retry after a silent gateway reaches another one. `avoided` is chosen
+/// only if no other gateway has a version above `version`.
 fn address_of_newer(
     version: u64,
     avoided: Option<SocketAddr>,
     all: impl Iterator<Item = Newest>,
 ) -> Option<SocketAddr> {
-    let newer = all.filter(|one| one.version > version);
-    let best = newer.max_by_key(|one| {
-        let is_avoided = avoided == Some(one.state);
-        (!is_avoided, one.version, rand::random::<u32>())
+    let newer = all.filter(|newest| newest.version > version);
+    let best = newer.max_by_key(|newest| {
+        let is_avoided = avoided == Some(newest.state);
+        (!is_avoided, newest.version, rand::random::<u32>())
     });
-    best.map(|one| one.state)
+    best.map(|newest| newest.state)
 }
