--- a/crates/valehold-gateway/src/peers/roster/hierarchy.rs
+++ b/crates/valehold-gateway/src/peers/roster/hierarchy.rs
@@ -1,8 +1,10 @@
-//! Which gateways there are, and who of them does what for the others.
+//! The hierarchy of gateways: the members of the fleet, their groups, and the
+//! hubs of each group.
 //!
-//! All of it follows from what is heard, by rules that are the same at every
-//! gateway: gateways that hear the same agree without asking one another.
-//! It is worked out a few times a second and read much more often.
+//! The hierarchy follows from received reports by rules that are the same at
+//! every gateway, so that gateways that received the same reports agree
+//! without asking one another. It is recomputed a few times a second and read
+//! much more often.
 
 use std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr};
 
@@ -17,48 +19,52 @@
     view::Life,
 };
 
-/// Up to how many gateways each hears every other.
+/// The largest number of gateways that all exchange heartbeats directly,
+/// without hubs.
 const MAX_WITHOUT_HUBS: usize = 14;
 
-/// How many hubs there are where all gateways are one group.
+/// The number of hubs where all gateways form one group.
 const HUBS_OF_SINGLE_GROUP: usize = 3;
 
-/// How many hubs a group has where there are many.
+/// The number of hubs of each group where each data centre is a group.
 const HUBS_PER_GROUP: usize = 2;
 
-/// Above how many gateways each data centre is a group of its own. A hub
-/// hears every gateway of its group a few times a second and tells each as
-/// often: at 128, with the figures of the largest deployment so far, this is
-/// a twentieth of the weakest machine that comes to be a hub.
+/// The largest number of gateways that still form one group; with more, each
+/// data centre becomes a group. A hub receives from and sends to every gateway
+/// of its group a few times a second: for 128 gateways, with the figures of
+/// the largest deployment so far, this takes a twentieth of the weakest
+/// machine that becomes a hub.
 const MAX_IN_SINGLE_GROUP: usize = 128;
 
-/// Below how many gateways they are one group again.
+/// The smallest number of gateways that stay divided into several groups; with
+/// fewer, they form one group again.
 const MIN_FOR_MANY_GROUPS: usize = 96;
 
-/// How often all this is worked out where gateways are many, in ms.
+/// The interval between recomputations of the hierarchy where there are hubs,
+/// in ms.
 const RECOMPUTE_INTERVAL_MS: u64 = 200;
 
-/// For how long a gateway that was expected to be a hub and said nothing is
-/// passed over, in ms.
+/// How long a gateway that should be a hub and stays silent is excluded from
+/// being a hub, in ms.
 const HUB_EXCLUSION_MS: u64 = 5_000;
 
-/// What is known of one gateway.
+/// The state of one gateway, as last reported.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Member {
-    /// How suited it is to work for the others.
+    /// The rank that decides which duties the gateway has for the fleet.
     pub rank: Rank,
-    /// Where it takes requests.
+    /// The address at which the gateway takes requests.
     pub requests: SocketAddr,
-    /// The data centre that it stands in.
+    /// The data centre of the gateway.
     pub data_centre: DataCentreId,
-    /// How far its life has come.
+    /// The stage of the gateway's life.
     pub life: Life,
-    /// Whether the platform's store answers it.
+    /// Whether the platform's store answers the gateway.
     pub store: StoreSight,
 }
 
 impl Member {
-    /// Takes from a heartbeat what it says of its sender.
+    /// Returns the state that a heartbeat reports of its sender.
     pub fn of(heartbeat: &Heartbeat) -> Self {
         Self {
             rank: heartbeat.rank,
@@ -69,31 +75,32 @@
         }
     }
 
-    /// Tells whether it does not leave.
+    /// Returns whether the gateway is starting or serving, and so not leaving.
     pub(super) fn stays(&self) -> bool {
         matches!(self.life, Life::Starting | Life::Serving)
     }
 }
 
-/// Returns the gateways of a list, by where they take heartbeats.
+/// Returns the members of a list, by heartbeat address. Leaves out members
+/// whose data centre is missing from the list.
 pub fn members_of(
     list: &MemberList,
 ) -> impl Iterator<Item = (SocketAddr, Member)> {
-    list.members.iter().filter_map(|word| {
-        let place = usize::from(word.data_centre);
+    list.members.iter().filter_map(|record| {
+        let index = usize::from(record.data_centre);
         let member = Member {
-            rank: word.rank,
-            requests: word.requests,
-            data_centre: list.data_centres.get(place)?.clone(),
-            life: word.life,
-            store: word.store,
+            rank: record.rank,
+            requests: record.requests,
+            data_centre: list.data_centres.get(index)?.clone(),
+            life: record.life,
+            store: record.store,
         };
-        Some((word.heartbeats, member))
+        Some((record.heartbeats, member))
     })
 }
 
 impl MemberList {
-    /// Lists gateways.
+    /// Creates the list of the given members, by heartbeat address.
     pub fn of<'a>(
         members: impl IntoIterator<Item = (&'a SocketAddr, &'a Member)>,
     ) -> Self {
@@ -104,11 +111,13 @@
         list
     }
 
-    /// Adds a gateway.
+    /// Adds a member, and its data centre if the list does not contain it yet.
     fn push(&mut self, heartbeats: SocketAddr, member: &Member) {
-        let known = self.data_centres.iter();
-        let place = known.clone().position(|one| *one == member.data_centre);
-        let place = place.unwrap_or_else(|| {
+        let listed_data_centres = self.data_centres.iter();
+        let index = listed_data_centres
+            .clone()
+            .position(|listed| *listed == member.data_centre);
+        let index = index.unwrap_or_else(|| {
             self.data_centres.push(member.data_centre.clone());
             self.data_centres.len() - 1
         });
@@ -116,14 +125,14 @@
             rank: member.rank,
             heartbeats,
             requests: member.requests,
-            data_centre: u8::try_from(place).unwrap_or(u8::MAX),
+            data_centre: u8::try_from(index).unwrap_or(u8::MAX),
             life: member.life,
             store: member.store,
         });
     }
 }
 
-/// From what a standing is worked out.
+/// The inputs from which the hierarchy is computed.
 pub(super) struct HierarchyInputs<'a> {
     pub(super) members: BTreeMap<SocketAddr, Member>,
     pub(super) own: &'a LocalMember,
@@ -131,29 +140,29 @@
     pub(super) now: Millis,
 }
 
-/// Which gateways there are, and who of them does what.
+/// The members of the fleet, and the hubs among them.
 #[derive(Debug)]
 pub struct Hierarchy {
     own: SocketAddr,
     own_data_centre: DataCentreId,
     members: BTreeMap<SocketAddr, Member>,
     many_groups: bool,
-    /// The hubs of this gateway's group, the greatest first.
+    /// The hubs of this gateway's group, in descending order of rank.
     local_hubs: Vec<SocketAddr>,
     remote_hubs: Vec<SocketAddr>,
-    /// The greatest hub of each other group.
+    /// The primary hub of each other group.
     remote_primary_hubs: Vec<SocketAddr>,
-    /// Gateways that are to be heard as hubs, and since when.
+    /// Hubs from which reports must arrive, and since when.
     expected_hubs: BTreeMap<SocketAddr, Millis>,
-    /// When each gateway was heard last.
+    /// When the last report of each gateway was received.
     last_received: BTreeMap<SocketAddr, Millis>,
-    /// Gateways that are passed over as hubs, and until when.
+    /// Gateways that are excluded from being hubs, and until when.
     excluded: BTreeMap<SocketAddr, Millis>,
     computed_at: Option<Millis>,
 }
 
 impl Hierarchy {
-    /// Makes the standing of a gateway that has heard of nobody.
+    /// Creates the hierarchy of a gateway that knows no other gateway yet.
     pub(super) fn new(own: &LocalMember) -> Self {
         Self {
             own: own.heartbeats,
@@ -170,12 +179,13 @@
         }
     }
 
-    /// Notes that a gateway was heard.
+    /// Records that a report of a gateway was received.
     pub(super) fn record_receipt(&mut self, from: SocketAddr, now: Millis) {
         self.last_received.insert(from, now);
     }
 
-    /// Tells whether it is to be worked out anew.
+    /// Returns whether the hierarchy must be recomputed: always where there
+    /// are no hubs, otherwise once per interval.
     pub(super) fn is_due(&self, now: Millis) -> bool {
         let every_ms = match self.local_hubs.is_empty() {
             true => 0,
@@ -184,7 +194,7 @@
         self.computed_at.is_none_or(|at| now.since(at) >= every_ms)
     }
 
-    /// Works it out.
+    /// Replaces the members and chooses the hubs again.
     pub(super) fn recompute(&mut self, inputs: HierarchyInputs<'_>) {
         let HierarchyInputs { members, own, silent_ms, now } = inputs;
         self.computed_at = Some(now);
@@ -200,12 +210,13 @@
         self.expect_hubs(now);
     }
 
-    /// Passes over who was to be heard as a hub and was not.
+    /// Excludes gateways that should report as hubs and have been silent for
+    /// `silent_ms`.
     fn exclude_silent_hubs(&mut self, silent_ms: u64, now: Millis) {
         self.excluded.retain(|_, until| now < *until);
         let is_silent = |address: &SocketAddr| {
-            let heard = self.last_received.get(address);
-            heard.is_none_or(|at| now.since(*at) >= silent_ms)
+            let received_at = self.last_received.get(address);
+            received_at.is_none_or(|at| now.since(*at) >= silent_ms)
         };
         for (address, since) in &self.expected_hubs {
             if now.since(*since) >= silent_ms && is_silent(address) {
@@ -233,8 +244,8 @@
         let (mut remote_hubs, mut remote_primary_hubs) =
             (Vec::new(), Vec::new());
         for group in groups {
-            let hubs = self.highest_ranked(HUBS_PER_GROUP, |one| {
-                one.data_centre == *group
+            let hubs = self.highest_ranked(HUBS_PER_GROUP, |member| {
+                member.data_centre == *group
             });
             match *group == own.data_centre {
                 true => self.local_hubs = hubs,
@@ -248,26 +259,31 @@
         self.remote_primary_hubs = remote_primary_hubs;
     }
 
-    /// Returns the greatest gateways of some, the greatest first.
+    /// Returns up to `count` gateways of highest rank that match the
+    /// predicate, in descending order of rank. Gateways that are leaving or
+    /// excluded are not eligible.
     fn highest_ranked(
         &self,
         count: usize,
-        which: impl Fn(&Member) -> bool,
+        predicate: impl Fn(&Member) -> bool,
     ) -> Vec<SocketAddr> {
         let eligible = self.members.iter().filter(|(address, member)| {
             member.stays()
-                && which(member)
+                && predicate(member)
                 && !self.excluded.contains_key(address)
         });
         let mut eligible: Vec<(Rank, SocketAddr)> = eligible
-            .map(|(address, one)| (one.rank.for_duty(Duty::Hub), *address))
+            .map(|(address, member)| {
+                (member.rank.for_duty(Duty::Hub), *address)
+            })
             .collect();
-        eligible.sort_unstable_by_key(|one| Reverse(*one));
+        eligible.sort_unstable_by_key(|entry| Reverse(*entry));
         eligible.into_iter().take(count).map(|(_, address)| address).collect()
     }
 
-    /// Notes which gateways are to be heard: the hubs of its own group, and,
-    /// for a hub, the foremost of each other one.
+    /// Updates the hubs from which reports must arrive: the other hubs of this
+    /// gateway's group and, if this gateway is a hub, the primary hub of each
+    /// other group.
     fn expect_hubs(&mut self, now: Millis) {
         let own = self.own;
         let mut expected_hubs: Vec<SocketAddr> = self.local_hubs.clone();
@@ -282,12 +298,12 @@
         }
     }
 
-    /// Tells whether each data centre is a group of its own.
+    /// Returns whether each data centre is a group of its own.
     pub fn has_many_groups(&self) -> bool {
         self.many_groups
     }
 
-    /// Returns the hubs of this gateway's group, the greatest first.
+    /// Returns the hubs of this gateway's group, in descending order of rank.
     pub fn local_hubs(&self) -> &[SocketAddr] {
         &self.local_hubs
     }
@@ -297,52 +313,53 @@
         &self.remote_hubs
     }
 
-    /// Returns all hubs.
+    /// Returns the hubs of all groups.
     pub fn all_hubs(&self) -> impl Iterator<Item = SocketAddr> {
         self.local_hubs.iter().chain(&self.remote_hubs).copied()
     }
 
-    /// Tells whether a gateway is heard of.
+    /// Returns whether a gateway, given by its heartbeat address, is a member.
     pub fn contains(&self, heartbeats: &SocketAddr) -> bool {
         self.members.contains_key(heartbeats)
     }
 
-    /// Returns every gateway, this one among them.
+    /// Returns the heartbeat addresses of all members, including this gateway.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.members.keys().copied()
     }
 
-    /// Returns the gateways of this one's group, itself among them.
+    /// Returns the gateways of this gateway's group, including itself.
     pub fn group(&self) -> impl Iterator<Item = SocketAddr> {
-        let is_near = |(_, member): &(&SocketAddr, &Member)| {
+        let is_in_group = |(_, member): &(&SocketAddr, &Member)| {
             !self.many_groups || member.data_centre == self.own_data_centre
         };
-        self.members.iter().filter(is_near).map(|(address, _)| *address)
+        self.members.iter().filter(is_in_group).map(|(address, _)| *address)
     }
 
-    /// Returns the gateways of this one's group that are no hubs.
+    /// Returns the gateways of this gateway's group that are not hubs.
     pub fn group_without_hubs(&self) -> impl Iterator<Item = SocketAddr> {
         self.group().filter(|address| !self.local_hubs.contains(address))
     }
 
-    /// Returns every gateway that does not leave.
+    /// Returns every gateway that is not leaving.
     pub fn staying(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.stays())
     }
 
-    /// Returns every gateway with its address.
+    /// Returns every gateway with its heartbeat address.
     pub fn all(&self) -> impl Iterator<Item = (SocketAddr, &Member)> {
         self.members.iter().map(|(address, member)| (*address, member))
     }
 
-    /// Returns every gateway that serves.
+    /// Returns every serving gateway, including this one, with its heartbeat
+    /// address.
     pub fn serving(&self) -> impl Iterator<Item = (SocketAddr, &Member)> {
         let all = self.members.iter();
         all.filter(|(_, member)| member.life == Life::Serving)
             .map(|(address, member)| (*address, member))
     }
 
-    /// Returns every other gateway that serves.
+    /// Returns every other serving gateway with its heartbeat address.
     pub fn serving_others(
         &self,
     ) -> impl Iterator<Item = (SocketAddr, &Member)> + Clone {
