--- a/crates/valehold-gateway/src/peers/roster/members.rs
+++ b/crates/valehold-gateway/src/peers/roster/members.rs
@@ -1,9 +1,10 @@
-//! The gateways that a hub tells its group of, as changes.
+//! The member lists that hubs advertise to their groups, sent as changes.
 //!
-//! A hub tells what changed since it told last, with a digest of all that it
-//! told. Who finds another digest than that of what it heard has lost a change,
-//! or has just come, and asks for all. So what a change costs does not grow
-//! with the gateways that did not change.
+//! A hub sends the members that changed since its last update, and a digest of
+//! the whole list that it has advertised. A gateway whose received list has
+//! another digest lost an update or has just started, and requests the full
+//! list. The cost of a change therefore does not grow with the number of
+//! members that did not change.
 
 use std::{
     cmp::Reverse,
@@ -17,31 +18,33 @@
 use super::hierarchy::{Member, members_of};
 use crate::peers::message::{MemberList, MemberNews, MemberPart};
 
-/// How many gateways one datagram tells of at the most: some 25 bytes each.
+/// The largest number of members in one datagram, at some 25 bytes each.
 const MAX_PER_DATAGRAM: usize = 1_024;
 
-/// Of how many gateways it is enough to know: the greatest by rank are told
-/// first, and are hubs and observers whoever else there is. More than make one
-/// group, so that all agree that there are several.
+/// The number of members that suffices to choose hubs and observers: members
+/// of highest rank are sent first, and have these duties regardless of the
+/// members that follow. The number is larger than a single group may be, so
+/// that all gateways agree that there are several groups.
 const SUFFICIENT_MEMBERS: usize = 256;
 
-/// The bytes that a datagram takes for each gateway that it tells of.
+/// The bytes that each member takes in a datagram.
 const BYTES_PER_MEMBER: f64 = 25.0;
 
-/// The part of a hub's link that changes of gateways may take.
+/// The share of a hub's link that member changes may take.
 const LINK_SHARE: f64 = 0.25;
 
-/// Returns of how many changed gateways a hub tells at once: what its link
-/// bears while it tells `group` gateways once in `every_ms`.
+/// Returns how many changed members a hub may send in one update, so that
+/// updates to `group` gateways every `every_ms` stay within the share of its
+/// link.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub fn max_changes(link_mbps: f64, every_ms: u64, group: usize) -> usize {
     let bytes_per_ms = link_mbps * 1_000.0 / 8.0 * LINK_SHARE;
     let bytes = bytes_per_ms * every_ms as f64;
-    let most = bytes / BYTES_PER_MEMBER / group.max(1) as f64;
-    (most as usize).clamp(1, MAX_PER_DATAGRAM)
+    let limit = bytes / BYTES_PER_MEMBER / group.max(1) as f64;
+    (limit as usize).clamp(1, MAX_PER_DATAGRAM)
 }
 
-/// Gateways, by where they take heartbeats, with a digest of all of them.
+/// Members by heartbeat address, with a digest of all of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct MemberTable {
     members: BTreeMap<SocketAddr, Member>,
@@ -49,12 +52,12 @@
 }
 
 impl MemberTable {
-    /// Returns how many there are.
+    /// Returns the number of members.
     pub(super) fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Returns them all.
+    /// Returns all members with their heartbeat addresses.
     pub(super) fn iter(
         &self,
     ) -> impl Iterator<Item = (SocketAddr, &Member)> + use<'_> {
@@ -63,14 +66,14 @@
 
     fn insert(&mut self, address: SocketAddr, member: Member) {
         self.digest ^= digest_of(&address, &member);
-        if let Some(before) = self.members.insert(address, member) {
-            self.digest ^= digest_of(&address, &before);
+        if let Some(previous) = self.members.insert(address, member) {
+            self.digest ^= digest_of(&address, &previous);
         }
     }
 
     fn remove(&mut self, address: &SocketAddr) {
-        if let Some(before) = self.members.remove(address) {
-            self.digest ^= digest_of(address, &before);
+        if let Some(previous) = self.members.remove(address) {
+            self.digest ^= digest_of(address, &previous);
         }
     }
 
@@ -80,20 +83,21 @@
         }
     }
 
-    /// Takes in what changed.
-    fn apply(&mut self, news: &MemberNews) {
-        for address in &news.gone {
+    /// Removes and inserts the members that an update lists.
+    fn apply(&mut self, update: &MemberNews) {
+        for address in &update.gone {
             self.remove(address);
         }
-        self.insert_all(&news.changed);
+        self.insert_all(&update.changed);
     }
 
-    /// Puts a part in the place of what is known of its range.
+    /// Replaces the members in a part's address range with those of the part.
     fn replace(&mut self, part: &MemberPart) {
         let Some(range) = part.range() else { return };
         let within = self.members.range(range);
-        let before: Vec<SocketAddr> = within.map(|(one, _)| *one).collect();
-        for address in before {
+        let replaced: Vec<SocketAddr> =
+            within.map(|(address, _)| *address).collect();
+        for address in replaced {
             self.remove(&address);
         }
         self.insert_all(&part.members);
@@ -101,8 +105,8 @@
 }
 
 impl MemberPart {
-    /// Returns the range of addresses that it tells all of; `None` if there
-    /// is no such range.
+    /// Returns the range of addresses that the part covers completely, or
+    /// `None` if the range is empty.
     fn range(&self) -> Option<(Bound<SocketAddr>, Bound<SocketAddr>)> {
         if let (Some(after), Some(until)) = (self.after, self.until)
             && after >= until
@@ -115,153 +119,159 @@
     }
 }
 
-/// The digest of one gateway. Those of several are joined by exclusive or, so
-/// that their order does not matter and one can be taken out again.
+/// Returns the digest of one member. The digests of several members are
+/// combined by exclusive or, so that their order does not matter and one
+/// member can be removed again.
 fn digest_of(address: &SocketAddr, member: &Member) -> u64 {
-    // Addresses and plain values can always be written.
+    // Serialization of addresses and plain values cannot fail.
     let bytes = postcard::to_stdvec(&(address, member)).unwrap_or_default();
     xxh3_64(&bytes)
 }
 
-/// The gateways that one hub told of.
+/// The members received from one hub.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ReceivedMembers {
-    /// The start of the hub that told.
+    /// The start of the hub that sent the members.
     start: u64,
     table: MemberTable,
-    /// Whether enough of what the hub told was once known here.
-    is_enough: bool,
+    /// Whether the received members sufficed to choose hubs and observers, now
+    /// or at an earlier time.
+    is_sufficient: bool,
 }
 
 impl ReceivedMembers {
-    /// Takes in a hub's news; tells whether something of what it told before
-    /// is missing.
+    /// Discards the members of another start of the hub, and applies an
+    /// update. Returns whether an earlier update is missing.
     pub(super) fn apply_changes(
         &mut self,
         start: u64,
-        news: &MemberNews,
+        update: &MemberNews,
     ) -> bool {
         if self.start != start {
             *self = Self { start, ..Self::default() };
         }
-        self.table.apply(news);
-        let is_missing = self.table.digest != news.digest;
-        self.is_enough |= news.is_enough && !is_missing;
+        self.table.apply(update);
+        let is_missing = self.table.digest != update.digest;
+        self.is_sufficient |= update.is_enough && !is_missing;
         is_missing
     }
 
-    /// Takes in a part of all that the hub told.
+    /// Applies one part of the hub's full list. Ignores the part if it comes
+    /// from another start of the hub.
     pub(super) fn apply_part(&mut self, part: &MemberPart) {
         if self.start != part.start {
             return;
         }
         self.table.replace(part);
         let is_missing = self.table.digest != part.digest;
-        self.is_enough |= part.is_enough && !is_missing;
+        self.is_sufficient |= part.is_enough && !is_missing;
     }
 
-    /// Returns the gateways, once they were enough to tell who stands for
-    /// what.
+    /// Returns the members once they suffice to choose hubs and observers, or
+    /// `None` before that.
     pub(super) fn sufficient(&self) -> Option<&MemberTable> {
-        self.is_enough.then_some(&self.table)
+        self.is_sufficient.then_some(&self.table)
     }
 }
 
-/// What this gateway told its group, as a hub, of who is there.
+/// The members that this gateway, as a hub, has advertised to its group.
 #[derive(Debug, Default)]
 pub struct AdvertisedMembers {
     advertised: MemberTable,
-    /// Whether these are enough to tell who stands for what.
-    is_enough: bool,
-    /// Gateways that asked for all and were not told yet.
+    /// Whether the advertised members suffice to choose hubs and observers.
+    is_sufficient: bool,
+    /// Gateways that requested the full list and did not receive it yet.
     full_list_requests: BTreeSet<SocketAddr>,
-    /// How many of them may be told until the next news.
+    /// The number of requests that may still be answered before the budget is
+    /// set again.
     reply_budget: usize,
 }
 
 impl AdvertisedMembers {
-    /// Returns what is to be told, given all that are heard of: up to `most`
-    /// changes, the greatest gateways by rank first, what is left with the
-    /// next news.
+    /// Returns the next update, given the current members, with at most
+    /// `limit` changes. Removed members come first. If not all changed members
+    /// fit, the ones of highest rank come first; later updates contain the
+    /// rest.
     pub fn next_update(
         &mut self,
-        heard: &BTreeMap<SocketAddr, Member>,
-        most: usize,
+        current: &BTreeMap<SocketAddr, Member>,
+        limit: usize,
     ) -> MemberNews {
-        let told = &self.advertised.members;
-        let is_gone = |address: &&SocketAddr| !heard.contains_key(address);
-        let gone = told.keys().filter(is_gone).take(most);
+        let advertised = &self.advertised.members;
+        let is_gone = |address: &&SocketAddr| !current.contains_key(address);
+        let gone = advertised.keys().filter(is_gone).take(limit);
         let gone: Vec<SocketAddr> = gone.copied().collect();
         let is_changed = |(address, member): &(&SocketAddr, &Member)| {
-            told.get(address) != Some(member)
+            advertised.get(address) != Some(member)
         };
-        let mut changed: Vec<_> = heard.iter().filter(is_changed).collect();
-        let left = most - gone.len();
-        if changed.len() > left {
+        let mut changed: Vec<_> = current.iter().filter(is_changed).collect();
+        let remaining = limit - gone.len();
+        if changed.len() > remaining {
             changed.sort_by_key(|(_, member)| Reverse(member.rank));
-            changed.truncate(left);
+            changed.truncate(remaining);
         }
         let changed = MemberList::of(changed);
-        let mut news =
+        let mut update =
             MemberNews { changed, gone, digest: 0, is_enough: false };
-        self.advertised.apply(&news);
-        self.is_enough = self.advertised.len() >= SUFFICIENT_MEMBERS
-            || self.advertised.members == *heard;
-        news.digest = self.advertised.digest;
-        news.is_enough = self.is_enough;
-        news
+        self.advertised.apply(&update);
+        self.is_sufficient = self.advertised.len() >= SUFFICIENT_MEMBERS
+            || self.advertised.members == *current;
+        update.digest = self.advertised.digest;
+        update.is_enough = self.is_sufficient;
+        update
     }
 
-    /// Notes that a gateway asks for all.
+    /// Records that a gateway requests the full list.
     pub fn request_full_list(&mut self, from: SocketAddr) {
         self.full_list_requests.insert(from);
     }
 
-    /// Lets so many of those that ask be told until this is called again; at
-    /// least one.
-    pub fn set_reply_budget(&mut self, most: usize) {
-        self.reply_budget = most.max(1);
+    /// Sets how many requests for the full list may be answered until the next
+    /// call. At least one is always allowed.
+    pub fn set_reply_budget(&mut self, limit: usize) {
+        self.reply_budget = limit.max(1);
     }
 
-    /// Takes those of the gateways that asked for all that may be told now.
+    /// Removes and returns the requests for the full list that may be answered
+    /// within the budget.
     pub fn take_full_list_requests(&mut self) -> Vec<SocketAddr> {
         let mut taken = Vec::new();
         while self.reply_budget > 0
-            && let Some(one) = self.full_list_requests.pop_first()
+            && let Some(request) = self.full_list_requests.pop_first()
         {
             self.reply_budget -= 1;
-            taken.push(one);
+            taken.push(request);
         }
         taken
     }
 
-    /// Returns how many gateways were told.
+    /// Returns the number of advertised members.
     pub fn len(&self) -> usize {
         self.advertised.len()
     }
 
-    /// Tells whether none was told.
+    /// Returns whether no members were advertised.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns all that was told, in parts that fit into datagrams; `start` is
-    /// that of this gateway.
+    /// Returns the full advertised list in parts that each fit into a
+    /// datagram. `start` is the start of this gateway.
     pub fn parts(&self, start: u64) -> Vec<MemberPart> {
-        let all: Vec<(&SocketAddr, &Member)> =
+        let members: Vec<(&SocketAddr, &Member)> =
             self.advertised.members.iter().collect();
         let mut parts: Vec<MemberPart> = Vec::new();
-        for some in all.chunks(MAX_PER_DATAGRAM) {
-            let members = MemberList::of(some.iter().copied());
+        for chunk in members.chunks(MAX_PER_DATAGRAM) {
+            let list = MemberList::of(chunk.iter().copied());
             let after = parts.last().and_then(|part| part.until);
-            let until = some.last().map(|(address, _)| **address);
+            let until = chunk.last().map(|(address, _)| **address);
             parts.push(MemberPart {
                 start,
                 after,
                 until,
-                members,
+                members: list,
                 digest: self.advertised.digest,
-                is_enough: self.is_enough,
+                is_enough: self.is_sufficient,
             });
         }
         if let Some(last) = parts.last_mut() {
