--- a/crates/valehold-gateway/src/peers/roster/duties.rs
+++ b/crates/valehold-gateway/src/peers/roster/duties.rs
@@ -1,59 +1,66 @@
-//! What this gateway does for all: watching the store, holding the lease.
+//! The duties of this gateway for the fleet: observing the store and holding
+//! the lease.
 
 use std::net::SocketAddr;
 
 use super::{Roster, hierarchy::Member};
 use crate::peers::message::{Duty, StoreSight};
 
-/// How many gateways watch the platform's list for all.
+/// The number of gateways that watch the platform's list of upstreams for the
+/// fleet.
 const STORE_OBSERVERS: usize = 3;
 
-/// How many gateways watch the configuration where hubs pass it on. A store
-/// may turn away a third of all gateways and serve the operator: that it is
-/// all of these then has a chance below one in 300,000.
+/// The number of gateways that watch the configuration where hubs distribute
+/// it. A store may reject a third of all gateways and still answer the
+/// operator; the chance that it rejects all of these is below one in 300,000.
 const CONFIGURATION_WATCHERS: usize = 12;
 
-/// How many gateways look for a store that answers nobody, where hubs tell of
-/// it: each call costs, refused ones too.
+/// The largest number of gateways that keep probing a store that answers no
+/// gateway, where there are hubs. Every call costs something, rejected calls
+/// too.
 const MAX_PROBING_GATEWAYS: usize = 24;
 
-/// A gateway's part in watching the platform's store for all.
+/// The role of a gateway in observing the platform's store for the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObserverRole {
-    /// It hears of everything from others.
+    /// The gateway does not observe; it receives all changes from peers.
     Inactive,
-    /// It watches the configuration, and hears of upstreams from others.
+    /// The gateway watches the configuration, and receives changes of
+    /// upstreams from peers.
     ConfigurationOnly,
-    /// It watches in case that the foremost observer misses something.
+    /// The gateway also observes, in case the primary observer misses
+    /// something.
     Standby,
-    /// Its word is the one that others hear first.
+    /// The gateway is the observer whose reports reach the others first.
     Primary,
 }
 
 impl Roster {
-    /// Returns this gateway's part in watching the platform's store.
+    /// Returns the role of this gateway in observing the platform's store,
+    /// given the status of the store at this gateway.
     ///
-    /// Those watch it that are the greatest by rank and that the store does
-    /// not turn away. Whoever it turns away goes on looking, but where hubs
-    /// tell of it only as many do as are needed.
-    pub fn observer_role(&self, own: StoreSight) -> ObserverRole {
+    /// The gateways of highest rank observe the store, except those that the
+    /// store rejects. A rejected gateway keeps probing the store; where there
+    /// are hubs, only the first `MAX_PROBING_GATEWAYS` gateways do so.
+    pub fn observer_role(&self, own_status: StoreSight) -> ObserverRole {
         let own_rank = self.own.rank.for_duty(Duty::Observe);
-        let greater = |(_, member): &(SocketAddr, &Member)| {
+        let outranks = |(_, member): &(SocketAddr, &Member)| {
             member.rank.for_duty(Duty::Observe) > own_rank
         };
-        let others = self.hierarchy.serving_others().filter(greater);
-        let place = others.clone().count();
+        let others = self.hierarchy.serving_others().filter(outranks);
+        let position = others.clone().count();
         let fails = |(_, member): &(SocketAddr, &Member)| {
             member.store == StoreSight::Fails
         };
         let failing = others.filter(fails).count();
-        let is_far_down = self.has_hubs() && place >= MAX_PROBING_GATEWAYS;
-        match place - failing {
-            _ if is_far_down => ObserverRole::Inactive,
-            _ if own == StoreSight::Fails => ObserverRole::Primary,
+        let is_beyond_limit =
+            self.has_hubs() && position >= MAX_PROBING_GATEWAYS;
+        match position - failing {
+            _ if is_beyond_limit => ObserverRole::Inactive,
+            _ if own_status == StoreSight::Fails => ObserverRole::Primary,
             0 => ObserverRole::Primary,
-            place if place < STORE_OBSERVERS => ObserverRole::Standby,
-            place if place < CONFIGURATION_WATCHERS => {
+            position if position < STORE_OBSERVERS => ObserverRole::Standby,
+            position if position < CONFIGURATION_WATCHERS => {
                 ObserverRole::ConfigurationOnly
             }
             _ if self.has_hubs() => ObserverRole::Inactive,
@@ -61,20 +68,22 @@
         }
     }
 
-    /// Tells whether enough others look after the store while it does not
-    /// answer this one: some that hear it, or the greatest by rank.
+    /// Returns whether enough other gateways watch the store while it does not
+    /// answer this one: another gateway reaches the store, or enough gateways
+    /// of higher rank probe it.
     pub fn others_probe_store(&self) -> bool {
         self.others_reach_store()
             || self.duty_position(Duty::Observe) >= STORE_OBSERVERS
     }
 
-    /// Tells whether some other gateway that serves hears the store.
+    /// Returns whether the store answers another serving gateway.
     pub fn others_reach_store(&self) -> bool {
         let mut others = self.hierarchy.serving_others();
         others.any(|(_, member)| member.store == StoreSight::Answers)
     }
 
-    /// Returns this gateway's place among all for a duty, from 0.
+    /// Returns the number of gateways with a higher rank than this one for a
+    /// duty, so that 0 means the first position.
     pub fn duty_position(&self, duty: Duty) -> usize {
         let own = self.own.rank.for_duty(duty);
         let all = self.hierarchy.staying();
