--- a/crates/valehold-gateway/src/peers/roster/hub_reports.rs
+++ b/crates/valehold-gateway/src/peers/roster/hub_reports.rs
@@ -1,4 +1,4 @@
-//! What hubs say, and what is said of the lease.
+//! The summaries and digests that hubs send, and the reports on the lease.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -15,11 +15,12 @@
 };
 
 impl Roster {
-    /// Returns the gateways that a hub of this one's group told of: the hub
-    /// that tells of the most.
+    /// Returns the longest member list that a live hub of this gateway's group
+    /// advertised, or `None` if no hub advertised a sufficient one.
     ///
-    /// A hub that has just become one has not heard all yet, and a hub drops
-    /// whoever it does not hear any more: so the longest list is the best.
+    /// A gateway that has just become a hub has not received all reports yet,
+    /// and a hub removes members whose reports no longer reach it. The longest
+    /// list is therefore the most complete one.
     pub(super) fn longest_hub_table(
         &self,
         now: Millis,
@@ -28,11 +29,11 @@
         let live = self
             .summaries
             .iter()
-            .filter(|(_, one)| now.since(one.received_at) < keep_ms);
-        let tables = live.filter_map(|(hub, one)| {
+            .filter(|(_, summary)| now.since(summary.received_at) < keep_ms);
+        let tables = live.filter_map(|(hub, summary)| {
             Some((
                 self.members_by_hub.get(hub)?.sufficient()?,
-                one.received_at,
+                summary.received_at,
             ))
         });
         let longest = tables.max_by_key(|(table, at)| (table.len(), *at));
@@ -45,11 +46,11 @@
     ) -> impl Iterator<Item = &HubReport<Summary>> {
         let keep_ms = self.silent_ms * HUB_REPORT_TTL_FACTOR;
         let all = self.summaries.values();
-        all.filter(move |one| now.since(one.received_at) < keep_ms)
+        all.filter(move |summary| now.since(summary.received_at) < keep_ms)
     }
 
-    /// Returns what the hub of each data centre says: the one that lists the
-    /// most, if there are two.
+    /// Returns one live digest of each data centre: the one with the most
+    /// members, and of equally long ones the newest.
     pub(super) fn live_digests(
         &self,
         now: Millis,
@@ -58,51 +59,58 @@
         let live: Vec<&HubReport<Digest>> = self
             .digests
             .values()
-            .filter(|one| now.since(one.received_at) < keep_ms)
+            .filter(|digest| now.since(digest.received_at) < keep_ms)
             .collect();
-        let size = |one: &HubReport<Digest>| one.report.members.members.len();
-        let is_best = |one: &HubReport<Digest>, all: &[&HubReport<Digest>]| {
-            !all.iter().any(|other| {
-                other.report.data_centre == one.report.data_centre
-                    && (size(other), other.received_at)
-                        > (size(one), one.received_at)
-            })
-        };
-        let best = live.iter().filter(|one| is_best(one, &live));
-        let best: Vec<&Digest> = best.map(|one| &one.report).collect();
+        let size =
+            |digest: &HubReport<Digest>| digest.report.members.members.len();
+        let is_longest =
+            |digest: &HubReport<Digest>, all: &[&HubReport<Digest>]| {
+                !all.iter().any(|other| {
+                    other.report.data_centre == digest.report.data_centre
+                        && (size(other), other.received_at)
+                            > (size(digest), digest.received_at)
+                })
+            };
+        let best = live.iter().filter(|digest| is_longest(digest, &live));
+        let best: Vec<&Digest> = best.map(|digest| &digest.report).collect();
         best.into_iter()
     }
 
-    /// Returns the newest configurations that hubs know.
+    /// Returns the newest configurations that hubs report.
     pub(super) fn hub_catalogs(
         &self,
         now: Millis,
     ) -> impl Iterator<Item = Newest> {
-        let summaries = self.live_summaries(now).map(|one| one.report.catalog);
+        let summaries =
+            self.live_summaries(now).map(|summary| summary.report.catalog);
         summaries.chain(self.live_digests(now).map(|digest| digest.catalog))
     }
 
-    /// Returns the newest lists of upstreams that hubs know.
+    /// Returns the newest lists of upstreams that hubs report.
     pub(super) fn hub_listings(
         &self,
         now: Millis,
     ) -> impl Iterator<Item = Newest> {
-        let summaries = self.live_summaries(now).map(|one| one.report.listing);
+        let summaries =
+            self.live_summaries(now).map(|summary| summary.report.listing);
         summaries.chain(self.live_digests(now).map(|digest| digest.listing))
     }
 
-    /// Returns where the holder of the lease takes wishes, if there is one.
+    /// Returns the heartbeat address of the lease holder, to which load
+    /// requests are sent, or `None` if no holder is known. Of several reported
+    /// holders, the one with the highest epoch is returned.
     pub fn lease_holder(&self, now: Millis) -> Option<SocketAddr> {
         let lease_reports = self.lease_reports(now);
         let held =
-            lease_reports.into_iter().filter_map(|one| match one.word {
-                LeaseWord::Holds { epoch, .. } => Some((epoch, one.from)),
+            lease_reports.into_iter().filter_map(|report| match report.word {
+                LeaseWord::Holds { epoch, .. } => Some((epoch, report.from)),
                 LeaseWord::GaveUp { .. } => None,
             });
         held.max().map(|(_, holder)| holder)
     }
 
-    /// Returns what is said of the lease, directly or by hubs.
+    /// Returns the lease reports of other gateways, received directly or from
+    /// hubs.
     pub fn lease_reports(&self, now: Millis) -> Vec<LeaseRumour> {
         let direct = self.live_peers(now).filter_map(|peer| {
             Some(LeaseRumour {
@@ -112,19 +120,19 @@
             })
         });
         let mut all: Vec<LeaseRumour> = direct.collect();
-        for one in self.live_summaries(now) {
+        for summary in self.live_summaries(now) {
             self.add_lease_reports(
                 &mut all,
-                &one.report.lease,
-                one.received_at,
+                &summary.report.lease,
+                summary.received_at,
                 now,
             );
         }
-        for one in self.digests.values() {
+        for digest in self.digests.values() {
             self.add_lease_reports(
                 &mut all,
-                &one.report.lease,
-                one.received_at,
+                &digest.report.lease,
+                digest.received_at,
                 now,
             );
         }
@@ -134,7 +142,7 @@
     fn add_lease_reports(
         &self,
         all: &mut Vec<LeaseRumour>,
-        heard: &[LeaseRumour],
+        received: &[LeaseRumour],
         at: Millis,
         now: Millis,
     ) {
@@ -142,17 +150,17 @@
             true => self.silent_ms * HUB_REPORT_TTL_FACTOR,
             false => self.silent_ms,
         };
-        let since = now.since(at);
-        let later = heard.iter().map(|rumour| LeaseRumour {
-            age_ms: rumour.age_ms.saturating_add(since),
-            ..*rumour
+        let elapsed_ms = now.since(at);
+        let aged = received.iter().map(|report| LeaseRumour {
+            age_ms: report.age_ms.saturating_add(elapsed_ms),
+            ..*report
         });
-        all.extend(later.filter(|rumour| {
-            rumour.age_ms < keep_ms && rumour.from != self.own.heartbeats
+        all.extend(aged.filter(|report| {
+            report.age_ms < keep_ms && report.from != self.own.heartbeats
         }));
     }
 
-    /// Returns the newest rumour of each gateway, and this one's own word.
+    /// Returns the newest lease report of each gateway, including this one.
     fn lease_reports_to_advertise(
         &self,
         own: &Heartbeat,
@@ -162,23 +170,24 @@
         let own = own.lease.map(|word| LeaseRumour { from, word, age_ms: 0 });
         let mut all = self.lease_reports(now);
         all.extend(own);
-        all.sort_by_key(|one| (one.from, one.age_ms));
-        all.dedup_by_key(|one| one.from);
+        all.sort_by_key(|report| (report.from, report.age_ms));
+        all.dedup_by_key(|report| report.from);
         all
     }
 
-    /// Returns every gateway that a hub tells its group of; `own` is this
-    /// gateway's own heartbeat.
+    /// Returns every member that a hub advertises to its group. `own` is the
+    /// heartbeat of this gateway.
     pub fn members_to_advertise(
         &self,
         own: &Heartbeat,
         now: Millis,
     ) -> BTreeMap<SocketAddr, Member> {
-        let elsewhere = self
+        let remote_digests = self
             .live_digests(now)
             .filter(|digest| digest.data_centre != self.own.data_centre);
-        let mut members: BTreeMap<SocketAddr, Member> =
-            elsewhere.flat_map(|digest| members_of(&digest.members)).collect();
+        let mut members: BTreeMap<SocketAddr, Member> = remote_digests
+            .flat_map(|digest| members_of(&digest.members))
+            .collect();
         for peer in self.live_peers_in_group(now) {
             members.insert(peer.address, Member::of(&peer.heartbeat));
         }
@@ -186,7 +195,8 @@
         members
     }
 
-    /// Makes a hub's summary; `own` is this gateway's own heartbeat.
+    /// Returns the summary that this gateway sends as a hub. `own` is the
+    /// heartbeat of this gateway.
     pub fn summary(
         &self,
         own: &Heartbeat,
@@ -194,8 +204,9 @@
         rulings: Option<Rulings>,
         now: Millis,
     ) -> Summary {
-        // Not of what other hubs of the group say: two hubs would tell each
-        // other for ever of a version whose only holder is gone.
+        // Leaves out the summaries of other hubs of the group: two hubs would
+        // keep reporting a version to each other after its only holder is
+        // gone.
         let digests = || self.live_digests(now);
         let catalogs = digests().map(|digest| digest.catalog);
         let listings = digests().map(|digest| digest.listing);
@@ -218,8 +229,9 @@
         }
     }
 
-    /// Makes a foremost hub's digest of its group; `own` is this gateway's
-    /// own heartbeat, `demand` that of the group for whom it concerns.
+    /// Returns the digest of the group that this gateway sends as primary hub.
+    /// `own` is the heartbeat of this gateway. `demand` is the demand of the
+    /// group, empty if the recipient does not need it.
     pub fn digest(
         &self,
         own: &Heartbeat,
@@ -239,18 +251,19 @@
         }
     }
 
-    /// Returns how many gateways there were lately, by the word of the one
-    /// that has seen the most; 0 if none is heard.
+    /// Returns the largest number of recently seen gateways that any peer or
+    /// hub reports, or 0 without reports.
     pub fn max_reported_gateways(&self, now: Millis) -> usize {
         let peers = self.live_peers(now).map(|peer| peer.heartbeat.seen);
         let hubs = self.live_summaries(now);
-        let hubs =
-            hubs.filter_map(|one| Some(one.report.rulings.as_ref()?.seen));
-        let most = peers.chain(hubs).max().unwrap_or(0);
-        usize::try_from(most).unwrap_or(usize::MAX)
+        let hubs = hubs
+            .filter_map(|summary| Some(summary.report.rulings.as_ref()?.seen));
+        let largest = peers.chain(hubs).max().unwrap_or(0);
+        usize::try_from(largest).unwrap_or(usize::MAX)
     }
 
-    /// Returns this gateway and those of its group that it hears itself.
+    /// Returns this gateway and the members of its group whose heartbeats it
+    /// receives.
     fn group_members(
         &self,
         own: &Heartbeat,
@@ -264,7 +277,8 @@
         members
     }
 
-    /// Returns the newest configuration here and at those heard directly.
+    /// Returns the newest configuration of this gateway and the peers that
+    /// send heartbeats to it.
     fn newest_direct_catalog(&self, own: &Heartbeat, now: Millis) -> Newest {
         let here = Newest { version: own.catalog, state: own.state };
         newer(
@@ -273,7 +287,8 @@
         )
     }
 
-    /// Returns the newest list of upstreams here and at those heard directly.
+    /// Returns the newest list of upstreams of this gateway and the peers that
+    /// send heartbeats to it.
     fn newest_direct_listing(&self, own: &Heartbeat, now: Millis) -> Newest {
         let here = Newest { version: own.listing, state: own.state };
         newer(
@@ -284,9 +299,11 @@
 }
 
 fn newest(all: impl Iterator<Item = Newest>) -> Option<Newest> {
-    all.max_by_key(|one| one.version)
+    all.max_by_key(|newest| newest.version)
 }
 
-fn newer(one: Newest, other: Option<Newest>) -> Newest {
-    other.filter(|other| other.version > one.version).unwrap_or(one)
+fn newer(current: Newest, candidate: Option<Newest>) -> Newest {
+    candidate
+        .filter(|newest| newest.version > current.version)
+        .unwrap_or(current)
 }
