--- a/crates/valehold-gateway/src/peers/roster/sums.rs
+++ b/crates/valehold-gateway/src/peers/roster/sums.rs
@@ -1,4 +1,4 @@
-//! What all gateways have under way and are asked for.
+//! The in-flight load and the demand of all gateways.
 
 use std::{cmp::Reverse, collections::BTreeMap, ops::Bound};
 
@@ -16,163 +16,173 @@
     view::Load,
 };
 
-/// The demand for what may be served inside each bound.
+/// The demand for each variant, by the region bound within which it may be
+/// served.
 pub type DemandSum = BTreeMap<RegionBound, BTreeMap<Variant, VariantDemand>>;
 
-/// What is under way at upstreams, by their tags.
+/// In-flight loads by the tags of their upstreams.
 pub type Loads = BTreeMap<UpstreamTag, Load>;
 
-/// What several gateways have under way, as a hub said.
+/// The in-flight loads of several gateways, as received from a hub.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ReceivedLoads {
     loads: Loads,
-    heard: Option<Millis>,
+    received_at: Option<Millis>,
 }
 
 impl ReceivedLoads {
-    pub(super) fn apply(&mut self, news: LoadNews, now: Millis) {
-        if let Some(whole) = news.whole {
-            self.loads.retain(|tag, _| !whole.has(*tag));
+    pub(super) fn apply(&mut self, update: LoadNews, now: Millis) {
+        if let Some(complete_range) = update.whole {
+            self.loads.retain(|tag, _| !complete_range.has(*tag));
         }
-        for one in news.loads {
-            self.loads.insert(one.upstream, one.load);
+        for entry in update.loads {
+            self.loads.insert(entry.upstream, entry.load);
         }
-        self.heard = Some(now);
+        self.received_at = Some(now);
     }
 
     fn is_live(&self, keep_ms: u64, now: Millis) -> bool {
-        self.heard.is_some_and(|heard| now.since(heard) < keep_ms)
+        self.received_at.is_some_and(|at| now.since(at) < keep_ms)
     }
 }
 
-/// How many upstreams in a row are told with each news although they did not
-/// change. Who lost a datagram is right again when all had their turn: where
-/// more are busy that takes longer, and costs no more.
+/// The number of consecutive upstreams that each update repeats although they
+/// did not change. A gateway that lost a datagram has correct sums again after
+/// all upstreams were repeated: with more busy upstreams this takes longer,
+/// but costs no more.
 const REPEATED_PER_UPDATE: usize = 32;
 
-/// What a hub said last, so that it says next what has changed the most.
+/// The last sums that this gateway, as a hub, has advertised, kept to find the
+/// largest changes for the next update.
 #[derive(Debug, Clone, Default)]
 pub struct AdvertisedSums {
     advertised: Loads,
-    /// The last upstream that was repeated; `None` to begin with the first.
+    /// The last upstream that was repeated; `None` if the next update begins
+    /// with the first upstream.
     last_repeated: Option<UpstreamTag>,
 }
 
 impl AdvertisedSums {
-    /// Returns what to tell of the sums: up to `most` that differ the most
-    /// from what was told, and some in turn whether they changed or not.
+    /// Returns the next update of the sums: up to `limit` changes, the largest
+    /// first, and the upstreams whose turn it is to be repeated, changed or
+    /// not.
     pub fn next_update(
         &mut self,
         sums: &[UpstreamLoad],
-        most: usize,
+        limit: usize,
     ) -> LoadNews {
         let sums = loads_by_upstream(sums);
         let (whole, mut loads) = self.repeat_next(&sums);
         let mut changed = self.changed(&sums);
-        changed.truncate(most);
-        for one in &changed {
-            self.advertised.insert(one.upstream, one.load);
+        changed.truncate(limit);
+        for change in &changed {
+            self.advertised.insert(change.upstream, change.load);
         }
         loads.extend(changed);
         LoadNews { whole: Some(whole), loads }
     }
 
-    /// Takes the upstreams whose turn it is to be told again.
+    /// Takes the next upstreams to repeat, and the range of tags that they
+    /// cover completely.
     fn repeat_next(&mut self, sums: &Loads) -> (TagRange, Vec<UpstreamLoad>) {
         let after = self.last_repeated;
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut next = sums.range((from, Bound::Unbounded));
-        let some = next.by_ref().take(REPEATED_PER_UPDATE);
-        let some: Vec<UpstreamLoad> = some.map(as_upstream_load).collect();
-        let last = some.last().map(|one| one.upstream);
+        let repeated = next.by_ref().take(REPEATED_PER_UPDATE);
+        let repeated: Vec<UpstreamLoad> =
+            repeated.map(as_upstream_load).collect();
+        let last = repeated.last().map(|entry| entry.upstream);
         let until = last.filter(|_| next.next().is_some());
         self.last_repeated = until;
         let range = TagRange { after, until };
         self.advertised.retain(|tag, _| !range.has(*tag));
         self.advertised
-            .extend(some.iter().map(|one| (one.upstream, one.load)));
-        (range, some)
+            .extend(repeated.iter().map(|entry| (entry.upstream, entry.load)));
+        (range, repeated)
     }
 
-    /// Returns the loads that are not as told, the greatest changes first.
+    /// Returns the loads that differ from the advertised ones, the largest
+    /// differences first.
     fn changed(&self, sums: &Loads) -> Vec<UpstreamLoad> {
         let nothing = Load::default();
-        let done =
+        let finished =
             self.advertised.keys().filter(|tag| !sums.contains_key(tag));
         let all = sums.iter().map(|(tag, load)| (*tag, *load));
-        let all = all.chain(done.map(|tag| (*tag, nothing)));
+        let all = all.chain(finished.map(|tag| (*tag, nothing)));
         let mut changed: Vec<(u64, UpstreamLoad)> = all
             .map(|(upstream, load)| {
-                let told = self.advertised.get(&upstream).unwrap_or(&nothing);
-                let change = load.difference(*told);
+                let advertised =
+                    self.advertised.get(&upstream).unwrap_or(&nothing);
+                let change = load.difference(*advertised);
                 (change, UpstreamLoad { upstream, load })
             })
             .filter(|(change, _)| *change > 0)
             .collect();
         changed.sort_by_key(|(change, _)| Reverse(*change));
-        changed.into_iter().map(|(_, one)| one).collect()
+        changed.into_iter().map(|(_, entry)| entry).collect()
     }
 }
 
-/// Returns loads as a map.
+/// Returns loads by the tags of their upstreams.
 pub fn loads_by_upstream(loads: &[UpstreamLoad]) -> Loads {
-    loads.iter().map(|one| (one.upstream, one.load)).collect()
+    loads.iter().map(|entry| (entry.upstream, entry.load)).collect()
 }
 
 impl Roster {
-    /// Returns what the others have under way at each upstream.
+    /// Returns the in-flight load of all other gateways at each upstream.
     ///
-    /// `told` is what this gateway said last that it has, which hubs add to
-    /// their sums.
-    pub fn loads_of_others(&self, told: &Loads, now: Millis) -> Loads {
+    /// `own_reported` is the load that this gateway reported last, which hubs
+    /// include in their sums.
+    pub fn loads_of_others(&self, own_reported: &Loads, now: Millis) -> Loads {
         let sums = &self.load_sums;
         if self.is_hub() || !sums.is_live(self.silent_ms, now) {
             return self.received_loads(now);
         }
         let others = sums.loads.iter().map(|(upstream, load)| {
-            let told = told.get(upstream).copied().unwrap_or_default();
-            (*upstream, load.minus(told))
+            let own = own_reported.get(upstream).copied().unwrap_or_default();
+            (*upstream, load.minus(own))
         });
         others.collect()
     }
 
-    /// Returns what all gateways have under way, `own` being what this one
-    /// has.
+    /// Returns the in-flight loads of all gateways. `own` is the load of this
+    /// gateway.
     pub fn sum_loads(
         &self,
         own: &[UpstreamLoad],
         now: Millis,
     ) -> Vec<UpstreamLoad> {
         let mut loads = self.received_loads(now);
-        add(&mut loads, own);
+        add_loads(&mut loads, own);
         load_list(&loads)
     }
 
-    /// Returns what the gateways of this one's group have under way, `own`
-    /// being what this one has.
+    /// Returns the in-flight loads of this gateway's group. `own` is the load
+    /// of this gateway.
     pub fn sum_group_loads(
         &self,
         own: &[UpstreamLoad],
         now: Millis,
     ) -> Vec<UpstreamLoad> {
         let mut loads = self.received_group_loads(now);
-        add(&mut loads, own);
+        add_loads(&mut loads, own);
         load_list(&loads)
     }
 
-    /// Returns what is heard of others: of each in this gateway's group, and
-    /// of the other groups as wholes.
+    /// Returns the in-flight loads of the other gateways: those of this
+    /// gateway's group from their own reports, and one sum for each other
+    /// group.
     fn received_loads(&self, now: Millis) -> Loads {
         let mut sum = self.received_group_loads(now);
         if !self.hierarchy.has_many_groups() {
             return sum;
         }
         let keep_ms = self.silent_ms * HUB_REPORT_TTL_FACTOR;
-        let others = self.group_loads.iter().filter(|(group, heard)| {
-            **group != self.own.data_centre && heard.is_live(keep_ms, now)
+        let others = self.group_loads.iter().filter(|(group, received)| {
+            **group != self.own.data_centre && received.is_live(keep_ms, now)
         });
-        for (_, heard) in others {
-            add(&mut sum, &load_list(&heard.loads));
+        for (_, received) in others {
+            add_loads(&mut sum, &load_list(&received.loads));
         }
         sum
     }
@@ -180,16 +190,17 @@
     fn received_group_loads(&self, now: Millis) -> Loads {
         let mut sum = Loads::new();
         for peer in self.live_peers_in_group(now) {
-            add(&mut sum, &peer.heartbeat.loads);
+            add_loads(&mut sum, &peer.heartbeat.loads);
         }
         sum
     }
 
-    /// Returns the demand that comes to all gateways, `own` being what comes
-    /// to this one.
+    /// Returns the demand at all gateways. `own` is the demand at this
+    /// gateway.
     pub fn sum_demand(&self, own: &[BoundDemand], now: Millis) -> DemandSum {
         let mut sum = DemandSum::new();
-        // Digests of its own group have this gateway's demand in them.
+        // A gateway that is not a hub adds no demand of its own here: the
+        // digest of its group already includes that demand.
         let uses_digests = self.hierarchy.has_many_groups() && !self.is_hub();
         if !uses_digests {
             add_demand(&mut sum, own);
@@ -207,7 +218,8 @@
         sum
     }
 
-    /// Returns the demand that comes to this gateway's group.
+    /// Returns the demand at the gateways of this gateway's group. `own` is
+    /// the demand at this gateway.
     pub fn group_demand(
         &self,
         own: &[BoundDemand],
@@ -218,22 +230,22 @@
         for peer in self.live_peers_in_group(now) {
             add_demand(&mut sum, &peer.heartbeat.demand);
         }
-        let one = |(bound, variants): (_, BTreeMap<_, _>)| BoundDemand {
+        let to_demand = |(bound, variants): (_, BTreeMap<_, _>)| BoundDemand {
             bound,
             variants: variants.into_values().collect(),
         };
-        sum.into_iter().map(one).collect()
+        sum.into_iter().map(to_demand).collect()
     }
 }
 
-fn add(sum: &mut Loads, loads: &[UpstreamLoad]) {
-    for one in loads {
-        let load = sum.entry(one.upstream).or_default();
-        *load = load.plus(one.load);
+fn add_loads(sum: &mut Loads, loads: &[UpstreamLoad]) {
+    for entry in loads {
+        let load = sum.entry(entry.upstream).or_default();
+        *load = load.plus(entry.load);
     }
 }
 
-/// Returns loads as a list.
+/// Returns loads as a list, ordered by tag.
 pub fn load_list(loads: &Loads) -> Vec<UpstreamLoad> {
     loads.iter().map(as_upstream_load).collect()
 }
@@ -252,13 +264,13 @@
     sum: &mut BTreeMap<Variant, VariantDemand>,
     demand: &[VariantDemand],
 ) {
-    for one in demand {
-        sum.entry(one.variant.clone())
-            .and_modify(|all| {
-                all.requests += one.requests;
-                all.busy += one.busy;
-                all.running = all.running.saturating_add(one.running);
+    for added in demand {
+        sum.entry(added.variant.clone())
+            .and_modify(|total| {
+                total.requests += added.requests;
+                total.busy += added.busy;
+                total.running = total.running.saturating_add(added.running);
             })
-            .or_insert_with(|| one.clone());
+            .or_insert_with(|| added.clone());
     }
 }
