--- a/crates/valehold-gateway/src/peers/roster/targets.rs
+++ b/crates/valehold-gateway/src/peers/roster/targets.rs
@@ -1,4 +1,4 @@
-//! Whom this gateway sends what.
+//! The recipients of each kind of message that this gateway sends.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -7,39 +7,40 @@
 
 use super::{Roster, hierarchy::Member};
 
-/// How many gateways' addresses a heartbeat carries at the most.
+/// The largest number of addresses in one heartbeat.
 const MAX_ADVERTISED_ADDRESSES: usize = 16;
 
-/// How many gateways are sent heartbeats at once at the most where no hubs
-/// are known: what a gateway that has just started, or lost its hubs, needs
-/// to find the others within a few beats.
+/// The largest number of known gateways that receive a heartbeat in one round
+/// while no hubs are known. This suffices for a gateway that has just started,
+/// or lost its hubs, to find the others within a few rounds.
 const MAX_DIRECT_TARGETS: usize = 24;
 
-/// How often seeds are sent heartbeats once others are known, in beats.
+/// The interval at which seeds receive heartbeats once hubs are known, in
+/// heartbeat rounds.
 const SEED_INTERVAL: u64 = 8;
 
-/// The same for a gateway that has just started. Gateways that start at the
-/// same time find one another in groups, which meet at the seeds.
+/// The same interval for a gateway that has just started, in heartbeat rounds.
+/// Gateways that start at the same time form separate groups, which find each
+/// other at the seeds.
 const STARTUP_SEED_INTERVAL: u64 = 2;
 
-/// For how many beats a gateway has just started.
+/// The round at which a gateway no longer counts as just started.
 const STARTUP_ROUNDS: u64 = 24;
 
-/// How many gateways that were named and are not met are sent a heartbeat
-/// with each beat.
+/// The number of uncontacted addresses that receive a heartbeat in each round.
 const CONTACTED_PER_ROUND: usize = 4;
 
-/// Where a message for all gateways goes.
+/// The recipients of a message to all gateways.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BroadcastTargets {
-    /// Gateways that it is sent to.
+    /// Gateways that receive the message directly.
     pub direct: BTreeSet<SocketAddr>,
-    /// Hubs that pass it on to their groups.
+    /// Hubs that relay the message to their groups.
     pub hubs: BTreeSet<SocketAddr>,
 }
 
 impl Roster {
-    /// Returns where this beat's heartbeat goes.
+    /// Starts a heartbeat round and returns the recipients of its heartbeat.
     pub fn heartbeat_targets(&mut self, now: Millis) -> BTreeSet<SocketAddr> {
         self.heartbeat_rounds += 1;
         let hubs = self.hierarchy.local_hubs();
@@ -65,19 +66,20 @@
         targets
     }
 
-    /// Returns seeds and all that were named, or some where those are many:
-    /// where a heartbeat goes while no hubs are known.
+    /// Returns the recipients of heartbeats while no hubs are known: the
+    /// seeds, and the known addresses or a random choice of these where there
+    /// are many.
     pub fn direct_targets(&self) -> BTreeSet<SocketAddr> {
         let known_addresses = self.known_addresses.keys().copied();
-        let some = known_addresses
+        let chosen = known_addresses
             .choose_multiple(&mut rand::rng(), MAX_DIRECT_TARGETS);
-        some.into_iter().chain(self.seeds.iter().copied()).collect()
+        chosen.into_iter().chain(self.seeds.iter().copied()).collect()
     }
 
-    /// Returns where a message for all gateways goes.
+    /// Returns the recipients of a message to all gateways.
     pub fn broadcast_targets(&self) -> BroadcastTargets {
         let own = self.own.heartbeats;
-        let mut spread = match self.hierarchy.has_many_groups() {
+        let mut targets = match self.hierarchy.has_many_groups() {
             false => BroadcastTargets {
                 direct: self.hierarchy.addresses().collect(),
                 hubs: BTreeSet::new(),
@@ -87,13 +89,13 @@
                 hubs: self.hierarchy.all_hubs().collect(),
             },
         };
-        spread.direct.remove(&own);
-        spread.hubs.remove(&own);
-        spread
+        targets.direct.remove(&own);
+        targets.hubs.remove(&own);
+        targets
     }
 
-    /// Returns the gateways of this one's group to which it passes on, as a
-    /// hub, what is for all; none if it is no hub.
+    /// Returns the gateways to which this gateway, as a hub, relays messages
+    /// to all gateways. Returns none if this gateway is not a hub.
     pub fn relay_targets(&self) -> BTreeSet<SocketAddr> {
         match self.is_hub() {
             true => self.hierarchy.group_without_hubs().collect(),
@@ -101,7 +103,8 @@
         }
     }
 
-    /// Returns the gateways to which this one's summaries go, if it is a hub.
+    /// Returns the other gateways of this gateway's group, the recipients of
+    /// its summaries if it is a hub.
     pub fn summary_targets(&self) -> BTreeSet<SocketAddr> {
         let mut targets: BTreeSet<SocketAddr> =
             self.hierarchy.group().collect();
@@ -109,31 +112,32 @@
         targets
     }
 
-    /// Returns the addresses that a heartbeat carries: hubs before others,
-    /// so that who has just come finds its own.
+    /// Returns the addresses to advertise in heartbeats: hubs first, so that a
+    /// gateway that has just started finds its hubs.
     pub fn advertised_addresses(&self, now: Millis) -> Vec<SocketAddr> {
         let hubs = self.hierarchy.all_hubs();
         let live = self.live_peers(now).map(|peer| peer.address);
         hubs.chain(live).take(MAX_ADVERTISED_ADDRESSES).collect()
     }
 
-    /// Returns every gateway that does not leave, this one among them.
+    /// Returns every gateway that is not leaving, including this one.
     pub fn staying(&self) -> Vec<SocketAddr> {
         self.members(Member::stays)
     }
 
-    /// Returns every gateway that leaves.
+    /// Returns every gateway that is leaving.
     pub fn leaving(&self) -> Vec<SocketAddr> {
         self.members(|member| !member.stays())
     }
 
-    fn members(&self, which: impl Fn(&Member) -> bool) -> Vec<SocketAddr> {
+    fn members(&self, predicate: impl Fn(&Member) -> bool) -> Vec<SocketAddr> {
         let all = self.hierarchy.all();
-        let found = all.filter(|(_, member)| which(member));
+        let found = all.filter(|(_, member)| predicate(member));
         found.map(|(address, _)| address).collect()
     }
 
-    /// Returns where the other hubs of this one's group take heartbeats.
+    /// Returns the heartbeat addresses of the other hubs of this gateway's
+    /// group.
     pub fn other_local_hubs(&self) -> BTreeSet<SocketAddr> {
         let hubs = self.hierarchy.local_hubs().iter().copied();
         hubs.filter(|hub| *hub != self.own.heartbeats).collect()
