--- a/crates/valehold-gateway/tests/roster.rs
+++ b/crates/valehold-gateway/tests/roster.rs
@@ -1,4 +1,5 @@
-//! Who hears whom, where gateways are few and where they are many.
+//! The roster in small, large and very large fleets: hubs, recipients,
+//! members, loads and duties.
 
 use std::net::SocketAddr;
 
@@ -90,8 +91,9 @@
     }
 }
 
-/// Makes the roster of one gateway that heard all others directly.
-fn hearing_all(number: u16, count: u16, now: Millis) -> Roster {
+/// Creates the roster of one gateway that received a heartbeat from every
+/// other gateway.
+fn connected_roster(number: u16, count: u16, now: Millis) -> Roster {
     let mut roster = roster(number);
     for other in (1..=count).filter(|other| *other != number) {
         roster.on_heartbeat(address(other), heartbeat(other, 1), now);
@@ -100,20 +102,20 @@
     roster
 }
 
-/// Makes the first summary of a hub.
+/// Returns the first summary of a hub.
 fn summary_of(hub: &Roster, own: &Heartbeat, now: Millis) -> Summary {
     summary_after(&mut AdvertisedMembers::default(), hub, own, now)
 }
 
-/// Makes a hub's summary after what it told before.
+/// Returns the next summary of a hub, given the members advertised before.
 fn summary_after(
-    told: &mut AdvertisedMembers,
+    advertised: &mut AdvertisedMembers,
     hub: &Roster,
     own: &Heartbeat,
     now: Millis,
 ) -> Summary {
-    let members =
-        told.next_update(&hub.members_to_advertise(own, now), usize::MAX);
+    let members = advertised
+        .next_update(&hub.members_to_advertise(own, now), usize::MAX);
     hub.summary(own, members, None, now)
 }
 
@@ -123,13 +125,14 @@
 }
 
 #[gtest]
-fn few_gateways_hear_each_other() {
+fn a_small_fleet_exchanges_heartbeats_directly() {
     let now = Millis::new(500);
-    let mut roster = hearing_all(1, 8, now);
+    let mut roster = connected_roster(1, 8, now);
     expect_false!(roster.has_hubs());
     expect_that!(roster.heartbeat_targets(now).len(), eq(7));
     expect_that!(roster.ready().len(), eq(7));
-    // The silent are gone, and still sent heartbeats in case they come back.
+    // Silent gateways are removed, and still receive heartbeats in case they
+    // return.
     let later = now + SILENT_MS;
     expect_true!(roster.tick(local_report(1), later));
     expect_that!(roster.ready(), is_empty());
@@ -154,29 +157,31 @@
 }
 
 #[gtest]
-fn three_observe_and_those_that_hear_nothing_for_themselves() {
+fn three_gateways_and_rejected_ones_observe_the_store() {
     let now = Millis::new(500);
     let answers = StoreSight::Answers;
-    let part = |number| hearing_all(number, 8, now).observer_role(answers);
+    let role =
+        |number| connected_roster(number, 8, now).observer_role(answers);
     let observes = |number: &u16| {
-        matches!(part(*number), ObserverRole::Primary | ObserverRole::Standby)
+        matches!(role(*number), ObserverRole::Primary | ObserverRole::Standby)
     };
     let observing: Vec<u16> = (1..=8).filter(observes).collect();
     expect_that!(observing, eq(&vec![6, 7, 8]));
-    // The greatest comes first, the others are its reserve. Where gateways
-    // are few, the rest watches the configuration.
-    expect_that!(part(8), eq(ObserverRole::Primary));
-    expect_that!(part(7), eq(ObserverRole::Standby));
-    expect_that!(part(6), eq(ObserverRole::Standby));
-    expect_that!(part(1), eq(ObserverRole::ConfigurationOnly));
-    // Whoever the store turns away looks for itself.
-    let rejected = hearing_all(1, 8, now).observer_role(StoreSight::Fails);
+    // The gateway of highest rank is the primary observer, the next two are on
+    // standby. In a small fleet the others watch the configuration.
+    expect_that!(role(8), eq(ObserverRole::Primary));
+    expect_that!(role(7), eq(ObserverRole::Standby));
+    expect_that!(role(6), eq(ObserverRole::Standby));
+    expect_that!(role(1), eq(ObserverRole::ConfigurationOnly));
+    // A gateway that the store rejects observes by itself.
+    let rejected =
+        connected_roster(1, 8, now).observer_role(StoreSight::Fails);
     expect_that!(rejected, eq(ObserverRole::Primary));
     let mut alone = roster(1);
     alone.recompute(local_report(1), now);
     expect_that!(alone.observer_role(answers), eq(ObserverRole::Primary));
-    // An observer whom the store turns away is replaced.
-    let mut other = hearing_all(5, 8, now);
+    // An observer that the store rejects is replaced.
+    let mut other = connected_roster(5, 8, now);
     let mut failing = heartbeat(8, 2);
     failing.store = StoreSight::Fails;
     other.on_heartbeat(address(8), failing, now);
@@ -185,23 +190,23 @@
 }
 
 #[gtest]
-fn where_hubs_tell_of_it_twelve_watch_the_configuration() {
+fn with_hubs_twelve_gateways_watch_the_configuration() {
     let now = Millis::new(500);
-    let part = |number| {
-        hearing_all(number, 60, now).observer_role(StoreSight::Unknown)
+    let role = |number| {
+        connected_roster(number, 60, now).observer_role(StoreSight::Unknown)
     };
-    let watching = (1..=60).filter(|n| part(*n) != ObserverRole::Inactive);
+    let watching = (1..=60).filter(|n| role(*n) != ObserverRole::Inactive);
     expect_that!(watching.collect::<Vec<u16>>(), eq(&Vec::from_iter(49..=60)));
-    expect_that!(part(49), eq(ObserverRole::ConfigurationOnly));
-    expect_that!(part(57), eq(ObserverRole::ConfigurationOnly));
-    expect_that!(part(58), eq(ObserverRole::Standby));
+    expect_that!(role(49), eq(ObserverRole::ConfigurationOnly));
+    expect_that!(role(57), eq(ObserverRole::ConfigurationOnly));
+    expect_that!(role(58), eq(ObserverRole::Standby));
 }
 
 #[gtest]
-fn many_gateways_tell_hubs_which_tell_all() {
+fn in_a_large_fleet_hubs_send_summaries_to_all() {
     let now = Millis::new(500);
     let count = 40;
-    let hub = hearing_all(40, count, now);
+    let hub = connected_roster(40, count, now);
     expect_true!(hub.is_hub());
     let mut own = heartbeat(40, 1);
     let load = Load { running: 2, waiting_tokens: 10 };
@@ -227,18 +232,18 @@
     expect_that!(loads.get(&tag("u1")), some(eq(&load)));
     let role = other.observer_role(StoreSight::Unknown);
     expect_that!(role, eq(ObserverRole::Inactive));
-    // Heartbeats go to the three hubs, and seeds now and then.
+    // Heartbeats go to the three hubs, and to seeds every few rounds.
     let targets = other.heartbeat_targets(now);
     expect_that!(targets.len(), eq(3));
     expect_true!(targets.contains(&address(40)));
-    // Messages for all go to each of them.
+    // Messages to all gateways go to each of them directly.
     expect_that!(
         other.broadcast_targets().direct.len(),
         eq(usize::from(count) - 1)
     );
     expect_that!(other.broadcast_targets().hubs.len(), eq(0));
-    // When the hubs are silent for long, it stands alone, looks at the store
-    // itself, and tries some of those that it knew.
+    // After a long silence of the hubs, the gateway observes the store itself
+    // and sends heartbeats to some of the gateways that it knew.
     let later = now + 2 * SILENT_MS;
     other.recompute(local_report(5), later);
     expect_false!(other.has_hubs());
@@ -250,16 +255,16 @@
 }
 
 #[gtest]
-fn a_summary_without_changes_leaves_gateways_as_they_were() {
+fn a_summary_without_changes_keeps_the_known_members() {
     let now = Millis::new(500);
-    let hub = hearing_all(40, 40, now);
+    let hub = connected_roster(40, 40, now);
     let own = heartbeat(40, 1);
-    let mut told = AdvertisedMembers::default();
-    let first = summary_after(&mut told, &hub, &own, now);
-    let second = summary_after(&mut told, &hub, &own, now);
+    let mut advertised = AdvertisedMembers::default();
+    let first = summary_after(&mut advertised, &hub, &own, now);
+    let second = summary_after(&mut advertised, &hub, &own, now);
     expect_that!(second.members.changed.members, is_empty());
     let mut other = roster(5);
-    // Whoever knows none of them yet misses them.
+    // A gateway that received no earlier update reports missing changes.
     expect_true!(other.on_summary(address(40), second.clone(), now));
     other.recompute(local_report(5), now);
     expect_that!(other.ready(), is_empty());
@@ -273,10 +278,10 @@
 #[gtest]
 fn a_silent_hub_is_replaced() {
     let start = Millis::new(500);
-    let mut other = hearing_all(5, 40, start);
-    let hub = hearing_all(38, 40, start);
+    let mut other = connected_roster(5, 40, start);
+    let hub = connected_roster(38, 40, start);
     let summary = summary_of(&hub, &heartbeat(38, 1), start);
-    // Hub 40 never says anything, the other two do.
+    // Hub 40 never sends a summary, the other two hubs do.
     for step in 0..=8 {
         let now = start + step * 200;
         other.on_summary(address(38), summary.clone(), now);
@@ -290,19 +295,19 @@
 }
 
 #[gtest]
-fn own_load_is_taken_off_a_summary() {
+fn own_load_is_subtracted_from_a_summary() {
     let now = Millis::new(500);
-    let hub = hearing_all(40, 40, now);
+    let hub = connected_roster(40, 40, now);
     let load = |running| Load { running, waiting_tokens: 0 };
     let mut own = heartbeat(40, 1);
     own.loads.push(UpstreamLoad { upstream: tag("u1"), load: load(5) });
     let mut other = roster(5);
     other.on_summary(address(40), summary_of(&hub, &own, now), now);
-    let mine = Loads::from([(tag("u1"), load(2))]);
-    let others = other.loads_of_others(&mine, now);
+    let own_reported = Loads::from([(tag("u1"), load(2))]);
+    let others = other.loads_of_others(&own_reported, now);
     expect_that!(others.get(&tag("u1")), some(eq(&load(3))));
-    let mine = Loads::from([(tag("u1"), load(9))]);
-    let others = other.loads_of_others(&mine, now);
+    let own_reported = Loads::from([(tag("u1"), load(9))]);
+    let others = other.loads_of_others(&own_reported, now);
     expect_that!(others.get(&tag("u1")), some(eq(&load(0))));
 }
 
@@ -323,24 +328,24 @@
 }
 
 #[gtest]
-fn loads_are_told_between_heartbeats() {
+fn outdated_load_reports_are_ignored() {
     let now = Millis::new(500);
-    let mut hub = hearing_all(40, 40, now);
+    let mut hub = connected_roster(40, 40, now);
     expect_true!(hub.is_primary_hub());
     hub.on_load_report(report(7, 2, 3), now);
-    // A report that was overtaken, and one from before a restart.
+    // An outdated report, and a report from before a restart.
     hub.on_load_report(report(7, 2, 9), now);
     hub.on_load_report(LoadReport { start: 0, ..report(7, 3, 9) }, now);
-    // A heartbeat that was overtaken by the report.
+    // A heartbeat that the load report overtook.
     hub.on_heartbeat(address(7), heartbeat(7, 2), now);
     let sums = hub.sum_loads(&[load_of("u1", 1)], now);
     expect_that!(sums, elements_are![eq(&load_of("u1", 4))]);
 }
 
 #[gtest]
-fn the_newest_word_of_all_loads_counts() {
+fn the_newest_sums_of_loads_are_used() {
     let now = Millis::new(500);
-    let hub = hearing_all(40, 40, now);
+    let hub = connected_roster(40, 40, now);
     let mut own = heartbeat(40, 1);
     own.loads.push(load_of("u1", 5));
     let mut other = roster(5);
@@ -355,14 +360,14 @@
     expect_that!(running(&other, now + 100), some(eq(8)));
     other.on_summary(address(40), summary_of(&hub, &own, now), now + 200);
     expect_that!(running(&other, now + 200), some(eq(5)));
-    // Without a word of hubs, only what is heard directly counts.
+    // Without reports of hubs, only loads reported directly count.
     expect_that!(running(&other, now + 200 + SILENT_MS), none());
 }
 
-/// On the bench: while the store was away, each of 63 gateways asked it twice
-/// a second.
+/// In a benchmark, each of 63 gateways called the store twice a second while
+/// the store was unreachable.
 #[gtest]
-fn only_the_greatest_look_for_a_store_that_nobody_hears() {
+fn only_the_highest_ranked_gateways_probe_an_unreachable_store() {
     let now = Millis::new(500);
     let rosters = |store: StoreSight| {
         let of = move |number: u16| {
@@ -377,21 +382,21 @@
         };
         (1..=40_u16).map(of).collect::<Vec<Roster>>()
     };
-    let looking = |store| {
+    let probing = |store| {
         let all = rosters(store).into_iter().zip(1_u16..);
-        let looking = all.filter(|(roster, _)| !roster.others_probe_store());
-        looking.map(|(_, number)| number).collect::<Vec<u16>>()
+        let probing = all.filter(|(roster, _)| !roster.others_probe_store());
+        probing.map(|(_, number)| number).collect::<Vec<u16>>()
     };
-    expect_that!(looking(StoreSight::Fails), eq(&vec![38, 39, 40]));
-    // Where others hear it, their word is enough for the time being.
-    expect_that!(looking(StoreSight::Answers), is_empty());
-    // Whoever hears nobody looks for itself.
+    expect_that!(probing(StoreSight::Fails), eq(&vec![38, 39, 40]));
+    // While the store answers other gateways, their reports suffice.
+    expect_that!(probing(StoreSight::Answers), is_empty());
+    // A gateway that knows no other gateway probes the store itself.
     expect_false!(roster(1).others_probe_store());
-    // Beyond a number of them, those that it fails do not look at all.
-    let asking = rosters(StoreSight::Fails).into_iter().filter(|roster| {
+    // Beyond a limit, gateways that the store rejects do not call it at all.
+    let calling = rosters(StoreSight::Fails).into_iter().filter(|roster| {
         roster.observer_role(StoreSight::Fails) != ObserverRole::Inactive
     });
-    expect_that!(asking.count(), eq(24));
+    expect_that!(calling.count(), eq(24));
 }
 
 const DATA_CENTRES: [&str; 3] = ["east", "north", "west"];
@@ -401,17 +406,17 @@
     DATA_CENTRES[usize::from(number) % DATA_CENTRES.len()]
 }
 
-fn spread_heartbeat(number: u16) -> Heartbeat {
+fn multi_zone_heartbeat(number: u16) -> Heartbeat {
     let data_centre = DataCentreId::new(data_centre(number));
     Heartbeat { data_centre, ..heartbeat(number, 1) }
 }
 
-/// Makes the roster of one of 150 gateways in three data centres that heard
-/// all others directly.
-fn one_of_150(number: u16, now: Millis) -> Roster {
+/// Creates the roster of one of 150 gateways in three data centres that
+/// received a heartbeat from every other gateway.
+fn multi_zone_roster(number: u16, now: Millis) -> Roster {
     let mut roster = roster_in(data_centre(number), number);
     for other in (1..=150).filter(|other| *other != number) {
-        roster.on_heartbeat(address(other), spread_heartbeat(other), now);
+        roster.on_heartbeat(address(other), multi_zone_heartbeat(other), now);
     }
     roster.recompute(local_report(number), now);
     roster
@@ -420,16 +425,16 @@
 #[gtest]
 fn very_many_gateways_have_hubs_in_each_data_centre() {
     let now = Millis::new(500);
-    // 150 and 147 are in the east, 148 and 145 in the north.
-    let member = one_of_150(3, now);
-    let hub = one_of_150(150, now);
-    let reserve = one_of_150(147, now);
+    // Gateways 150 and 147 are in the east, 148 and 145 in the north.
+    let member = multi_zone_roster(3, now);
+    let hub = multi_zone_roster(150, now);
+    let second_hub = multi_zone_roster(147, now);
     expect_true!(hub.is_primary_hub());
-    expect_true!(reserve.is_hub());
-    expect_false!(reserve.is_primary_hub());
+    expect_true!(second_hub.is_hub());
+    expect_false!(second_hub.is_primary_hub());
     expect_false!(member.is_hub());
-    // A gateway tells the two hubs of its own data centre, and is told by
-    // them alone.
+    // A gateway sends heartbeats to the two hubs of its own data centre, and
+    // receives summaries from these two hubs alone.
     let mut member = member;
     let targets = member.heartbeat_targets(now);
     let hubs = [address(147), address(150)];
@@ -437,31 +442,34 @@
     expect_that!(hub.summary_targets().len(), eq(49));
     expect_true!(hub.summary_targets().contains(&address(3)));
     expect_false!(hub.summary_targets().contains(&address(4)));
-    // What is for all crosses to another data centre once for each hub.
-    let spread = member.broadcast_targets();
-    expect_that!(spread.direct.len(), eq(0));
-    expect_that!(spread.hubs.len(), eq(6));
-    // A hub passes it on to those of its data centre that are no hubs.
+    // A message to all gateways crosses to another data centre once for each
+    // hub there.
+    let targets = member.broadcast_targets();
+    expect_that!(targets.direct.len(), eq(0));
+    expect_that!(targets.hubs.len(), eq(6));
+    // A hub relays the message to the gateways of its data centre that are not
+    // hubs.
     expect_that!(hub.broadcast_targets().hubs.len(), eq(5));
     expect_that!(hub.broadcast_targets().direct.len(), eq(48));
     expect_that!(hub.remote_hubs().len(), eq(4));
 }
 
-/// Demand that may be served anywhere, and half as much inside a bound.
+/// Returns demand that may be served anywhere, and half as much within a
+/// region bound.
 fn demand(requests: f32) -> Vec<BoundDemand> {
-    let one = |bound: RegionBound, requests: f32| {
+    let bound_demand = |bound: RegionBound, requests: f32| {
         let variant = Variant::plain("alpha");
         let demand =
             VariantDemand { variant, requests, busy: 0.5, running: 1 };
         BoundDemand { bound, variants: vec![demand] }
     };
-    let inside = one(RegionBound::within(["north"]), requests / 2.0);
-    vec![one(RegionBound::Anywhere, requests), inside]
+    let inside = bound_demand(RegionBound::within(["north"]), requests / 2.0);
+    vec![bound_demand(RegionBound::Anywhere, requests), inside]
 }
 
 fn digest_of(number: u16, now: Millis) -> Digest {
-    let hub = one_of_150(number, now);
-    let mut own = spread_heartbeat(number);
+    let hub = multi_zone_roster(number, now);
+    let mut own = multi_zone_heartbeat(number);
     own.catalog = 9;
     own.lease = Some(LeaseWord::Holds { epoch: 7, version: 90 });
     let demand = hub.group_demand(&demand(2.0), now);
@@ -469,19 +477,20 @@
 }
 
 #[gtest]
-fn digests_tell_hubs_and_the_holder_of_other_data_centres() {
+fn digests_report_members_and_the_lease_holder_of_other_data_centres() {
     let now = Millis::new(500);
     let digest = digest_of(148, now);
     expect_that!(digest.members.members.len(), eq(50));
-    // A hub that heard only its own data centre, and this digest.
+    // A hub that received heartbeats of its own data centre only, and this
+    // digest.
     let mut hub = roster_in("east", 150);
     for other in (1..=150).filter(|n| data_centre(*n) == "east" && *n < 150) {
-        hub.on_heartbeat(address(other), spread_heartbeat(other), now);
+        hub.on_heartbeat(address(other), multi_zone_heartbeat(other), now);
     }
     hub.on_digest(address(148), digest, now);
     hub.recompute(local_report(150), now);
     expect_that!(hub.ready().len(), eq(99));
-    let summary = summary_of(&hub, &spread_heartbeat(150), now);
+    let summary = summary_of(&hub, &multi_zone_heartbeat(150), now);
     let listed = summary.members.changed.members.len();
     expect_that!(listed, eq(100));
     expect_that!(summary.catalog.version, eq(9));
@@ -498,14 +507,15 @@
         expect_that!(of(RegionBound::within(["north"])), eq(all / 2.0));
         all
     };
-    // A hub adds up its own data centre, and what digests say of others.
-    let mut hub = one_of_150(150, now);
+    // A hub sums the demand of its own data centre and the digests of the
+    // others.
+    let mut hub = multi_zone_roster(150, now);
     expect_that!(sum_at(&hub), eq(1.0));
     hub.on_digest(address(148), digest_of(148, now), now);
     hub.on_digest(address(150), digest_of(150, now), now);
     expect_that!(sum_at(&hub), eq(3.0));
-    // Any other holder goes by digests, which have its own demand in them.
-    let mut member = one_of_150(3, now);
+    // Any other lease holder sums digests, which include its own demand.
+    let mut member = multi_zone_roster(3, now);
     member.on_digest(address(148), digest_of(148, now), now);
     member.on_digest(address(150), digest_of(150, now), now);
     expect_that!(sum_at(&member), eq(4.0));
@@ -514,7 +524,7 @@
 #[gtest]
 fn loads_of_other_data_centres_come_as_sums() {
     let now = Millis::new(500);
-    let mut hub = one_of_150(150, now);
+    let mut hub = multi_zone_roster(150, now);
     let group = |name: &str, running| GroupLoads {
         instance: InstanceId::new(name),
         number: WordNumber { start: 1, sequence: 1 },
@@ -523,7 +533,8 @@
         news: LoadNews::of_all(vec![load_of("u1", running)]),
     };
     hub.on_load_report(report(3, 2, 1), now);
-    // A gateway of another data centre whose word came directly, too.
+    // A direct report from a gateway of another data centre does not count,
+    // because the sum of that data centre contains it.
     hub.on_load_report(report(4, 2, 1), now);
     hub.on_group_loads(group("north", 4), now);
     hub.on_group_loads(group("west", 2), now);
@@ -547,113 +558,118 @@
     expect_that!(firsts[0], ne(firsts[1]));
     expect_that!(firsts[1], ne(firsts[2]));
     expect_that!(firsts[0], ne(firsts[2]));
-    // The strong come before the weak for each.
+    // Gateways of greater strength come first for every duty.
     let strong = Rank { strength: 50, tie: 0 };
     expect_true!(strong.for_duty(Duty::Place) > rank(9).for_duty(Duty::Place));
-    expect_that!(hearing_all(8, 8, now).duty_position(Duty::Place), eq(0));
+    expect_that!(
+        connected_roster(8, 8, now).duty_position(Duty::Place),
+        eq(0)
+    );
 }
 
-/// Makes the loads of many upstreams, which come first by their tags.
+/// Returns the loads of many upstreams, ordered by tag.
 fn many_loads(count: u64, running: u32) -> Vec<UpstreamLoad> {
     let mut loads: Vec<UpstreamLoad> =
         (0..count).map(|n| load_of(&format!("e{n}"), running)).collect();
-    loads.sort_by_key(|one| one.upstream);
+    loads.sort_by_key(|entry| entry.upstream);
     loads
 }
 
 #[gtest]
-fn sums_tell_what_changed_the_most() {
-    let mut told = AdvertisedSums::default();
+fn load_updates_contain_the_largest_changes_first() {
+    let mut advertised = AdvertisedSums::default();
     let sums = many_loads(200, 1);
-    // The first time nothing was told: some in turn, and as many changes.
-    let news = told.next_update(&sums, 200);
-    expect_that!(news.loads.len(), eq(200));
-    // What changed the most comes first, and what is done.
+    // Nothing was advertised before: the first update contains repeated
+    // upstreams, and all others as changes.
+    let update = advertised.next_update(&sums, 200);
+    expect_that!(update.loads.len(), eq(200));
+    // The largest changes come first; a load that ended is a change too.
     let mut sums = sums;
     let (done, most_changed) = (sums[199].upstream, sums[198].upstream);
     sums.truncate(199);
     sums[198].load.running = 9;
     sums[197].load.running = 2;
-    let news = told.next_update(&sums, 1);
-    let told_of = |news: &LoadNews, tag| {
-        let of = news.loads.iter().rev().find(|one| one.upstream == tag);
-        of.map(|one| one.load.running)
+    let update = advertised.next_update(&sums, 1);
+    let running_of = |update: &LoadNews, tag| {
+        let of = update.loads.iter().rev().find(|entry| entry.upstream == tag);
+        of.map(|entry| entry.load.running)
     };
-    expect_that!(told_of(&news, most_changed), some(eq(9)));
-    expect_that!(told_of(&news, done), none());
-    // What did not fit is told next, and nothing twice.
-    let news = told.next_update(&sums, 2);
-    expect_that!(told_of(&news, done), some(eq(0)));
-    expect_that!(told_of(&news, sums[197].upstream), some(eq(2)));
-    let repeated_count = told.next_update(&sums, 2).loads.len();
+    expect_that!(running_of(&update, most_changed), some(eq(9)));
+    expect_that!(running_of(&update, done), none());
+    // Changes that did not fit are in the next update, and no change is sent
+    // twice.
+    let update = advertised.next_update(&sums, 2);
+    expect_that!(running_of(&update, done), some(eq(0)));
+    expect_that!(running_of(&update, sums[197].upstream), some(eq(2)));
+    let repeated_count = advertised.next_update(&sums, 2).loads.len();
     expect_that!(repeated_count, le(32));
 }
 
-// All loads were told to every gateway each 2 s: 35 KB at 3,900 busy engines,
-// and a datagram too large to be sent at 6,700.
+// Hubs sent all loads to every gateway every 2 s: 35 KB at 3,900 busy engines,
+// and a datagram too large to send at 6,700.
 #[gtest]
-fn news_of_loads_cost_no_more_where_more_engines_are_busy() {
+fn load_updates_do_not_grow_with_the_number_of_busy_engines() {
     let bytes_of = |count: u64| {
-        let mut told = AdvertisedSums::default();
+        let mut advertised = AdvertisedSums::default();
         let sums = many_loads(count, 1);
         let sizes = (0..100).map(|_| {
-            let news = HubNews {
+            let update = HubNews {
                 number: WordNumber { start: 1, sequence: 1 },
-                loads: told.next_update(&sums, 96),
+                loads: advertised.next_update(&sums, 96),
                 rulings: None,
                 paces: PaceNews::default(),
             };
-            Message::HubNews(news).encode().unwrap().len()
+            Message::HubNews(update).encode().unwrap().len()
         });
         sizes.max().unwrap()
     };
     let (few, many) = (bytes_of(1_000), bytes_of(8_000));
-    // Tags and counts are written with as many bytes as they need.
+    // Tags and counts are encoded with variable length.
     expect_that!(many, le(few * 5 / 4));
 }
 
 #[gtest]
-fn who_lost_news_of_loads_is_right_again_when_all_had_their_turn() {
+fn repeated_loads_correct_the_sums_after_lost_updates() {
     let now = Millis::new(500);
-    let mut told = AdvertisedSums::default();
+    let mut advertised = AdvertisedSums::default();
     let mut other = roster(5);
     let before = many_loads(300, 1);
-    while told.next_update(&before, 96).loads.len() > 32 {}
-    // All that is told of what changed is lost.
+    while advertised.next_update(&before, 96).loads.len() > 32 {}
+    // All updates that contain these changes are lost.
     let mut after = before.clone();
     after.drain(100..150);
     after[0].load.running = 7;
     other.on_load_update(LoadNews::of_all(before), now);
-    while told.next_update(&after, 96).loads.len() > 32 {}
+    while advertised.next_update(&after, 96).loads.len() > 32 {}
     for _ in 0..=300 / 32 {
-        other.on_load_update(told.next_update(&after, 96), now);
+        other.on_load_update(advertised.next_update(&after, 96), now);
     }
     let after: Loads =
-        after.iter().map(|one| (one.upstream, one.load)).collect();
+        after.iter().map(|entry| (entry.upstream, entry.load)).collect();
     expect_that!(other.loads_of_others(&Loads::new(), now), eq(&after));
 }
 
-/// On the bench: gateways that started at the same time stood in groups that
-/// did not hear of one another, and all of one contended for the lease.
+/// In a benchmark, gateways that started at the same time formed groups
+/// without contact to each other, and all gateways of one group contended for
+/// the lease.
 #[gtest]
-fn gateways_that_a_peer_names_are_met() {
+fn addresses_that_a_peer_reports_are_contacted() {
     let now = Millis::new(500);
-    let mut member = hearing_all(5, 40, now);
-    // A seed of another group names its hubs.
+    let mut member = connected_roster(5, 40, now);
+    // A seed of another group reports the hubs of that group.
     let mut seed = heartbeat(90, 1);
     seed.known = vec![address(91), address(92), address(39)];
     member.on_heartbeat(address(90), seed, now);
     let targets = member.heartbeat_targets(now);
     expect_true!(targets.contains(&address(91)));
     expect_true!(targets.contains(&address(92)));
-    // Once each; whoever answers is heard of from then on.
+    // Each address is contacted once; a gateway that answers becomes a member.
     let targets = member.heartbeat_targets(now);
     expect_false!(targets.contains(&address(91)));
 }
 
 #[gtest]
-fn a_peer_that_could_not_be_read_comes_after_others_that_have_something_newer()
-{
+fn a_peer_that_could_not_be_read_is_tried_after_others() {
     let now = Millis::new(1_000);
     let mut roster = roster(1);
     for (number, catalog) in [(2, 9), (3, 9), (4, 8)] {
@@ -669,7 +685,8 @@
     expect_true!(newest.contains(&read_at(&roster, 3, None)));
     let other = read_at(&roster, 3, Some(address(2)));
     expect_that!(other, some(eq(address(3))));
-    // Where it is the only one, it is tried again.
+    // If the avoided peer is the only one with a newer version, it is tried
+    // again.
     let mut alone = self::roster(1);
     let mut heartbeat = heartbeat(2, 1);
     heartbeat.catalog = 9;
@@ -678,8 +695,8 @@
     expect_that!(again, some(eq(address(2))));
 }
 
-/// Reads of state between regions cost bytes and time that those within one
-/// do not.
+/// Reading state from another region costs bytes and time that reading within
+/// a region does not.
 #[gtest]
 fn state_is_read_in_the_own_data_centre_and_else_in_the_own_region() {
     let now = Millis::new(500);
@@ -712,14 +729,19 @@
     expect_that!(near, some(eq(address(3))));
 }
 
-/// Hears a datagram as control does.
-fn hear(roster: &mut Roster, from: SocketAddr, message: Message, now: Millis) {
-    let number = message.number().expect("it is numbered");
+/// Handles a datagram as the control loop does.
+fn receive(
+    roster: &mut Roster,
+    from: SocketAddr,
+    message: Message,
+    now: Millis,
+) {
+    let number = message.number().expect("the message has a number");
     if !roster.accept_number(from, number, now) {
         return;
     }
     match message {
-        Message::HubNews(news) => roster.on_load_update(news.loads, now),
+        Message::HubNews(update) => roster.on_load_update(update.loads, now),
         Message::Summary(summary) => {
             roster.on_summary(from, *summary, now);
         }
@@ -727,7 +749,7 @@
     }
 }
 
-fn hub_news(start: u64, sequence: u64, running: u32) -> Message {
+fn hub_update(start: u64, sequence: u64, running: u32) -> Message {
     let loads = vec![load_of("u1", running)];
     Message::HubNews(HubNews {
         number: WordNumber { start, sequence },
@@ -743,49 +765,51 @@
 }
 
 #[gtest]
-fn a_word_that_was_overtaken_brings_no_old_figures_back() {
+fn an_overtaken_message_does_not_restore_old_loads() {
     let now = Millis::new(10_000);
-    let mut roster = hearing_all(1, 40, now);
+    let mut roster = connected_roster(1, 40, now);
     let hub = address(40);
-    hear(&mut roster, hub, hub_news(1, 6, 3), now);
-    hear(&mut roster, hub, hub_news(1, 5, 9), now);
+    receive(&mut roster, hub, hub_update(1, 6, 3), now);
+    receive(&mut roster, hub, hub_update(1, 5, 9), now);
     expect_that!(running_at(&roster, now), eq(3));
-    // Twice the same, as datagrams may come.
-    hear(&mut roster, hub, hub_news(1, 6, 9), now);
+    // The same number again, as datagrams may be duplicated.
+    receive(&mut roster, hub, hub_update(1, 6, 9), now);
     expect_that!(running_at(&roster, now), eq(3));
-    // The hub starts again, and counts anew; its earlier start is over.
-    hear(&mut roster, hub, hub_news(2, 1, 4), now);
+    // The hub restarts and numbers its messages from 1 again; messages of the
+    // earlier start are discarded.
+    receive(&mut roster, hub, hub_update(2, 1, 4), now);
     expect_that!(running_at(&roster, now), eq(4));
-    hear(&mut roster, hub, hub_news(1, 7, 9), now);
+    receive(&mut roster, hub, hub_update(1, 7, 9), now);
     expect_that!(running_at(&roster, now), eq(4));
-    // Another hub counts for itself.
-    hear(&mut roster, address(39), hub_news(1, 1, 5), now);
+    // Each hub has numbers of its own.
+    receive(&mut roster, address(39), hub_update(1, 1, 5), now);
     expect_that!(running_at(&roster, now), eq(5));
 }
 
 #[gtest]
-fn a_summary_and_news_of_one_hub_have_one_order() {
+fn summaries_and_load_updates_of_a_hub_share_one_order() {
     let now = Millis::new(10_000);
-    let mut roster = hearing_all(1, 40, now);
-    let sender = hearing_all(40, 40, now);
+    let mut roster = connected_roster(1, 40, now);
+    let sender = connected_roster(40, 40, now);
     let mut own = heartbeat(40, 8);
     own.loads = vec![load_of("u1", 9)];
     let summary = summary_of(&sender, &own, now);
-    hear(&mut roster, address(40), hub_news(1, 9, 3), now);
+    receive(&mut roster, address(40), hub_update(1, 9, 3), now);
     let message = Message::Summary(Box::new(summary));
-    hear(&mut roster, address(40), message, now);
+    receive(&mut roster, address(40), message, now);
     expect_that!(running_at(&roster, now), eq(3));
-    // What the same hub says to other hubs under that number counts for
-    // itself.
+    // A message of the same hub to other hubs may have the same number,
+    // because each audience has an order of its own.
     let digest = sender.digest(&own, Vec::new(), now);
     let number = Message::Digest(Box::new(digest)).number().unwrap();
     expect_true!(roster.accept_number(address(40), number, now));
     expect_false!(roster.accept_number(address(40), number, now));
 }
 
-/// Makes the heartbeats of a hub's whole group, each gateway's sight of the
-/// store as given.
-fn heard_by_hub(count: u16, failing: u16, now: Millis) -> Roster {
+/// Creates the roster of a hub that received a heartbeat from every gateway of
+/// its group. The first `failing` gateways report that the store does not
+/// answer.
+fn hub_roster(count: u16, failing: u16, now: Millis) -> Roster {
     let mut hub = roster(count);
     for number in 1..count {
         let mut heartbeat = heartbeat(number, 1);
@@ -802,47 +826,47 @@
     Message::Summary(Box::new(summary)).encode().unwrap().len()
 }
 
-// As soon as one gateway changed, a hub told each of its group of every
-// gateway, twice a second: 22 KB at 986 gateways, 8 MB a second out of one hub
-// while the store answered some of them and not others.
+// After a change of one gateway, a hub sent the full member list to each
+// gateway of its group, twice a second: 22 KB at 986 gateways, and 8 MB a
+// second from one hub while the store answered some gateways and not others.
 #[gtest]
-fn a_change_of_one_gateway_costs_as_much_among_many_as_among_few() {
+fn a_member_change_costs_the_same_in_small_and_large_groups() {
     let now = Millis::new(500);
     let bytes_of_change = |count: u16| {
         let own = heartbeat(count, 1);
-        let mut told = AdvertisedMembers::default();
-        summary_after(&mut told, &heard_by_hub(count, 0, now), &own, now);
-        let hub = heard_by_hub(count, 1, now);
-        let change = summary_after(&mut told, &hub, &own, now);
+        let mut advertised = AdvertisedMembers::default();
+        summary_after(&mut advertised, &hub_roster(count, 0, now), &own, now);
+        let hub = hub_roster(count, 1, now);
+        let change = summary_after(&mut advertised, &hub, &own, now);
         expect_that!(change.members.changed.members.len(), eq(1));
         bytes_of(change)
     };
     let (few, many) = (bytes_of_change(100), bytes_of_change(1_000));
-    // The digest and numbers are written with as many bytes as they need.
+    // The digest and numbers are encoded with variable length.
     expect_that!(many, le(few + 16));
 }
 
 #[gtest]
-fn who_missed_a_change_asks_and_is_told_all_in_parts() {
+fn a_gateway_that_missed_a_change_receives_the_full_list_in_parts() {
     let now = Millis::new(500);
     let count = 2_500;
     let (before, after) =
-        (heard_by_hub(count, 0, now), heard_by_hub(count, 3, now));
+        (hub_roster(count, 0, now), hub_roster(count, 3, now));
     let own = heartbeat(count, 1);
-    let mut told = AdvertisedMembers::default();
+    let mut advertised = AdvertisedMembers::default();
     let hub = address(count);
     let mut other = roster(5);
-    let first = summary_after(&mut told, &before, &own, now);
+    let first = summary_after(&mut advertised, &before, &own, now);
     expect_false!(other.on_summary(hub, first, now));
-    // The summary with the change is lost, the next one tells of it.
-    summary_after(&mut told, &after, &own, now);
-    let next = summary_after(&mut told, &after, &own, now);
+    // The summary with the change is lost; the next summary reveals the loss.
+    summary_after(&mut advertised, &after, &own, now);
+    let next = summary_after(&mut advertised, &after, &own, now);
     expect_true!(other.on_summary(hub, next.clone(), now));
-    told.request_full_list(address(5));
-    told.set_reply_budget(1);
-    expect_that!(told.take_full_list_requests(), eq(&vec![address(5)]));
-    expect_that!(told.take_full_list_requests(), is_empty());
-    let parts = told.parts(own.start);
+    advertised.request_full_list(address(5));
+    advertised.set_reply_budget(1);
+    expect_that!(advertised.take_full_list_requests(), eq(&vec![address(5)]));
+    expect_that!(advertised.take_full_list_requests(), is_empty());
+    let parts = advertised.parts(own.start);
     expect_that!(parts.len(), ge(2));
     for part in parts {
         let message = Message::Members(part);
@@ -856,60 +880,61 @@
 }
 
 #[gtest]
-fn of_few_gateways_one_that_just_came_knows_all_or_none() {
+fn members_of_a_small_group_are_used_only_when_complete() {
     let now = Millis::new(500);
-    let (count, most) = (200, 64);
-    let hub = heard_by_hub(count, 0, now);
+    let (count, limit) = (200, 64);
+    let hub = hub_roster(count, 0, now);
     let own = heartbeat(count, 1);
     let all = hub.members_to_advertise(&own, now);
-    let mut told = AdvertisedMembers::default();
+    let mut advertised = AdvertisedMembers::default();
     let mut other = roster(5);
     let mut ready = Vec::new();
     for _ in 0..4 {
-        let news = told.next_update(&all, most);
-        expect_that!(news.changed.members.len(), le(most));
-        let summary = hub.summary(&own, news, None, now);
+        let update = advertised.next_update(&all, limit);
+        expect_that!(update.changed.members.len(), le(limit));
+        let summary = hub.summary(&own, update, None, now);
         expect_false!(other.on_summary(address(count), summary, now));
         other.recompute(local_report(5), now);
         ready.push(other.ready().len());
     }
-    // The greatest by rank cannot be told from a part of them.
+    // In a group of this size, a part of the members does not suffice to
+    // choose hubs and observers.
     expect_that!(ready, eq(&vec![0, 0, 0, 199]));
 }
 
-// After all gateways were killed, a hub on a slow link takes seconds to tell its
-// group of a thousand others.
+// After all gateways were killed, a hub on a slow link needs seconds to send a
+// thousand members to its group.
 #[gtest]
-fn of_many_gateways_the_greatest_tell_who_stands_for_what() {
+fn in_a_large_group_the_highest_ranked_members_suffice_to_find_hubs() {
     let now = Millis::new(500);
-    let (count, most) = (1_000, 90);
-    let hub = heard_by_hub(count, 0, now);
+    let (count, limit) = (1_000, 90);
+    let hub = hub_roster(count, 0, now);
     let own = heartbeat(count, 1);
     let all = hub.members_to_advertise(&own, now);
-    let mut told = AdvertisedMembers::default();
+    let mut advertised = AdvertisedMembers::default();
     let mut other = roster(5);
     for _ in 0..3 {
-        let news = told.next_update(&all, most);
-        let summary = hub.summary(&own, news, None, now);
+        let update = advertised.next_update(&all, limit);
+        let summary = hub.summary(&own, update, None, now);
         expect_false!(other.on_summary(address(count), summary, now));
         other.recompute(local_report(5), now);
     }
     let targets = other.heartbeat_targets(now);
     let hubs = [address(count - 1), address(count)];
-    expect_true!(hubs.iter().all(|one| targets.contains(one)));
+    expect_true!(hubs.iter().all(|hub| targets.contains(hub)));
     expect_that!(targets.len(), le(3));
 }
 
 #[gtest]
-fn a_hub_that_starts_again_is_believed_from_its_start() {
+fn members_from_before_a_restart_of_the_hub_are_discarded() {
     let now = Millis::new(500);
     let count = 60;
     let mut other = roster(5);
     let own = heartbeat(count, 1);
-    let hub = heard_by_hub(count, 0, now);
+    let hub = hub_roster(count, 0, now);
     other.on_summary(address(count), summary_of(&hub, &own, now), now);
     let started = Heartbeat { start: 2, ..own };
-    let few = hearing_all(count, 3, now);
+    let few = connected_roster(count, 3, now);
     let summary = summary_of(&few, &started, now);
     expect_false!(other.on_summary(address(count), summary, now));
     other.recompute(local_report(5), now);
@@ -917,10 +942,10 @@
 }
 
 #[gtest]
-fn changes_take_a_part_of_the_link_however_large_the_group() {
+fn member_changes_take_a_quarter_of_the_link_in_groups_of_any_size() {
     let bytes_per_second = |group: usize| {
-        let most = max_changes(20.0, 500, group);
-        (most * 25 * group * 2) as f64
+        let limit = max_changes(20.0, 500, group);
+        (limit * 25 * group * 2) as f64
     };
     // A quarter of 20 Mbit/s.
     for group in [30, 165, 330, 1_000] {
