--- a/crates/valehold-gateway/tests/peer_bytes.rs
+++ b/crates/valehold-gateway/tests/peer_bytes.rs
@@ -1,4 +1,5 @@
-//! What a gateway makes of any bytes from peers.
+//! The roster and the state decoder with arbitrary bytes and extreme values
+//! from peers.
 
 use std::{cell::RefCell, net::SocketAddr};
 
@@ -27,10 +28,10 @@
     view::{Life, Load},
 };
 
-/// The seed of the cases that every run tries.
+/// The seed of the generated cases, the same in every run.
 const SEED: u64 = 20_261_204;
 
-/// How many cases a property is tried with.
+/// The number of cases for each property.
 const CASES: u32 = 8_000;
 
 fn runner() -> TestRunner {
@@ -110,10 +111,14 @@
     }
 }
 
-fn told(roster: &Roster, own: &Heartbeat, now: Millis) -> AdvertisedMembers {
-    let mut told = AdvertisedMembers::default();
-    told.next_update(&roster.members_to_advertise(own, now), usize::MAX);
-    told
+fn advertised_members(
+    roster: &Roster,
+    own: &Heartbeat,
+    now: Millis,
+) -> AdvertisedMembers {
+    let mut advertised = AdvertisedMembers::default();
+    advertised.next_update(&roster.members_to_advertise(own, now), usize::MAX);
+    advertised
 }
 
 fn summary(roster: &Roster, own: &Heartbeat, now: Millis) -> Summary {
@@ -124,10 +129,10 @@
 }
 
 fn part(roster: &Roster, own: &Heartbeat, now: Millis) -> MemberPart {
-    told(roster, own, now).parts(own.start).remove(0)
+    advertised_members(roster, own, now).parts(own.start).remove(0)
 }
 
-/// One datagram of each kind that the roster hears.
+/// Returns one encoded datagram of each kind that the roster handles.
 fn datagrams() -> Vec<Vec<u8>> {
     let (roster, now) = (roster(), Millis::new(500));
     let number = WordNumber { start: 1, sequence: 1 };
@@ -163,7 +168,8 @@
     messages.iter().map(|message| message.encode().unwrap()).collect()
 }
 
-/// Any bytes, and those of a datagram cut off or with some bytes changed.
+/// Generates arbitrary bytes, and valid datagrams that are truncated or have
+/// some bytes changed.
 fn bytes_like(valid: Vec<Vec<u8>>) -> impl Strategy<Value = Vec<u8>> {
     let changes = prop::collection::vec((any::<usize>(), any::<u8>()), 1..5);
     let cut = valid.clone();
@@ -183,7 +189,7 @@
     ]
 }
 
-fn hear(roster: &mut Roster, message: Message, now: Millis) {
+fn receive(roster: &mut Roster, message: Message, now: Millis) {
     let from = address(40);
     if let Some(number) = message.number() {
         roster.accept_number(from, number, now);
@@ -198,14 +204,14 @@
         Message::Members(part) => roster.on_member_part(from, &part, now),
         Message::Digest(digest) => roster.on_digest(from, *digest, now),
         Message::Loads(report) => roster.on_load_report(report, now),
-        Message::HubNews(news) => roster.on_load_update(news.loads, now),
+        Message::HubNews(update) => roster.on_load_update(update.loads, now),
         Message::GroupLoads(group) => roster.on_group_loads(group, now),
         _ => {}
     }
 }
 
-/// Asks a roster all that control does.
-fn ask(roster: &mut Roster, now: Millis) {
+/// Calls the roster methods that the control loop calls.
+fn query_all(roster: &mut Roster, now: Millis) {
     roster.tick(local_report(), now);
     roster.recompute(local_report(), now);
     let own = heartbeat(1);
@@ -220,7 +226,7 @@
 }
 
 #[gtest]
-fn a_datagram_of_anything_does_no_harm() {
+fn malformed_datagrams_neither_panic_nor_remove_members() {
     let read = RefCell::new(0);
     let bytes = bytes_like(datagrams());
     runner()
@@ -228,40 +234,42 @@
             let Ok(message) = Message::decode(&bytes) else { return Ok(()) };
             *read.borrow_mut() += 1;
             let (mut roster, now) = (roster(), Millis::new(600));
-            hear(&mut roster, message, now);
-            ask(&mut roster, now + 100);
-            // Those that are heard of are there as before.
+            receive(&mut roster, message, now);
+            query_all(&mut roster, now + 100);
+            // Members that the roster knew before are still present.
             let ready = roster.ready();
-            prop_assert!(ready.iter().any(|one| one.requests == address(5)));
+            prop_assert!(
+                ready.iter().any(|member| member.requests == address(5))
+            );
             Ok(())
         })
         .unwrap();
-    // Many changes leave a datagram that can be read.
+    // Many changed datagrams can still be decoded.
     expect_that!(read.into_inner(), ge(CASES / 10));
 }
 
 #[gtest]
-fn figures_beyond_all_bounds_do_no_harm() {
+fn loads_and_ages_of_maximum_value_do_not_panic() {
     let (mut roster, now) = (roster(), Millis::new(600));
     for number in 2..5 {
         let mut heartbeat = heartbeat(number);
         heartbeat.sequence = 2;
-        for one in &mut heartbeat.loads {
-            one.load = Load { running: u32::MAX, waiting_tokens: u64::MAX };
+        for entry in &mut heartbeat.loads {
+            entry.load = Load { running: u32::MAX, waiting_tokens: u64::MAX };
         }
         roster.on_heartbeat(address(number), heartbeat, now);
     }
     let mut summary = summary(&roster, &heartbeat(40), now);
-    for rumour in &mut summary.lease {
-        rumour.age_ms = u64::MAX;
+    for report in &mut summary.lease {
+        report.age_ms = u64::MAX;
     }
     roster.on_summary(address(40), summary, now);
-    ask(&mut roster, now + 100);
+    query_all(&mut roster, now + 100);
     expect_that!(roster.ready(), not(is_empty()));
 }
 
 #[gtest]
-fn a_state_of_anything_does_no_harm() {
+fn malformed_peer_states_do_not_panic() {
     let state = PeerState {
         listing: Some(Listing { version: 3, ..Listing::default() }),
         ..PeerState::default()
