--- a/crates/valehold-gateway/src/peers/roster/members.rs
+++ b/crates/valehold-gateway/src/peers/roster/members.rs
@@ -258,18 +258,18 @@
     /// Returns the full advertised list in parts that each fit into a
     /// datagram. `start` is the start of this gateway.
     pub fn parts(&self, start: u64) -> Vec<MemberPart> {
-        let members: Vec<(&SocketAddr, &Member)> =
+        let advertised: Vec<(&SocketAddr, &Member)> =
             self.advertised.members.iter().collect();
         let mut parts: Vec<MemberPart> = Vec::new();
-        for chunk in members.chunks(MAX_PER_DATAGRAM) {
-            let list = MemberList::of(chunk.iter().copied());
+        for chunk in advertised.chunks(MAX_PER_DATAGRAM) {
+            let members = MemberList::of(chunk.iter().copied());
             let after = parts.last().and_then(|part| part.until);
             let until = chunk.last().map(|(address, _)| **address);
             parts.push(MemberPart {
                 start,
                 after,
                 until,
-                members: list,
+                members,
                 digest: self.advertised.digest,
                 is_enough: self.is_sufficient,
             });
