--- a/crates/valehold-gateway/src/peers/roster/duties.rs
+++ b/crates/valehold-gateway/src/peers/roster/duties.rs
@@ -70,7 +70,7 @@
 
     /// Returns whether enough other gateways watch the store while it does not
     /// answer this one: another gateway reaches the store, or enough gateways
-    /// of higher rank probe it.
+    /// of higher rank probe the store.
     pub fn others_probe_store(&self) -> bool {
         self.others_reach_store()
             || self.duty_position(Duty::Observe) >= STORE_OBSERVERS
--- a/crates/valehold-gateway/src/peers/roster/hub_reports.rs
+++ b/crates/valehold-gateway/src/peers/roster/hub_reports.rs
@@ -231,7 +231,7 @@
 
     /// Returns the digest of the group that this gateway sends as primary hub.
     /// `own` is the heartbeat of this gateway. `demand` is the demand of the
-    /// group, empty if the recipient does not need it.
+    /// group, empty if the recipient does not need the demand.
     pub fn digest(
         &self,
         own: &Heartbeat,
@@ -277,8 +277,8 @@
         members
     }
 
-    /// Returns the newest configuration of this gateway and the peers that
-    /// send heartbeats to it.
+    /// Returns the newest version of the configuration among this gateway and
+    /// the peers whose heartbeats it receives.
     fn newest_direct_catalog(&self, own: &Heartbeat, now: Millis) -> Newest {
         let here = Newest { version: own.catalog, state: own.state };
         newer(
@@ -287,8 +287,8 @@
         )
     }
 
-    /// Returns the newest list of upstreams of this gateway and the peers that
-    /// send heartbeats to it.
+    /// Returns the newest version of the list of upstreams among this gateway
+    /// and the peers whose heartbeats it receives.
     fn newest_direct_listing(&self, own: &Heartbeat, now: Millis) -> Newest {
         let here = Newest { version: own.listing, state: own.state };
         newer(
--- a/crates/valehold-gateway/src/peers/roster/members.rs
+++ b/crates/valehold-gateway/src/peers/roster/members.rs
@@ -91,7 +91,8 @@
         self.insert_all(&update.changed);
     }
 
-    /// Replaces the members in a part's address range with those of the part.
+    /// Replaces the members in the address range of a part by the members of
+    /// the part.
     fn replace(&mut self, part: &MemberPart) {
         let Some(range) = part.range() else { return };
         let within = self.members.range(range);
--- a/crates/valehold-gateway/src/peers/roster/mod.rs
+++ b/crates/valehold-gateway/src/peers/roster/mod.rs
@@ -283,7 +283,8 @@
         received.apply(group.news, now);
     }
 
-    /// Prunes silent gateways and recomputes the hierarchy, if it is due.
+    /// Prunes silent gateways and recomputes the hierarchy, if a recomputation
+    /// is due.
     ///
     /// Returns whether the set of gateways that callers may be sent to
     /// changed.
--- a/crates/valehold-gateway/src/peers/roster/targets.rs
+++ b/crates/valehold-gateway/src/peers/roster/targets.rs
@@ -19,9 +19,9 @@
 /// heartbeat rounds.
 const SEED_INTERVAL: u64 = 8;
 
-/// The same interval for a gateway that has just started, in heartbeat rounds.
-/// Gateways that start at the same time form separate groups, which find each
-/// other at the seeds.
+/// The interval at which a gateway that has just started sends heartbeats to
+/// seeds, in heartbeat rounds. Gateways that start at the same time form
+/// separate groups, which find each other at the seeds.
 const STARTUP_SEED_INTERVAL: u64 = 2;
 
 /// The round at which a gateway no longer counts as just started.
