--- a/crates/valehold-gateway/src/control/crashes.rs
+++ b/crates/valehold-gateway/src/control/crashes.rs
@@ -98,7 +98,7 @@
             tokio::task::spawn_local(async move {
                 let named = record(&*store, &refused, &in_vain).await;
                 let done = RecordDone { named, forgotten: in_vain };
-                let _ = inputs.send(Input::Recorded(done));
+                let _ = inputs.send(Input::RecordCallFinished(done));
             });
         }
     }
--- a/crates/valehold-gateway/src/control/feeds.rs
+++ b/crates/valehold-gateway/src/control/feeds.rs
@@ -62,7 +62,7 @@
         let heard = match news {
             Ok(CatalogNews::Heard { version, catalog, evacuations }) => {
                 after = Some(version);
-                Input::CatalogHeard { version, catalog, evacuations }
+                Input::CatalogUpdated { version, catalog, evacuations }
             }
             Ok(CatalogNews::HistoryGone) => {
                 tell_history_gone("watch_configuration", after);
--- a/crates/valehold-gateway/src/control/feeds/tests.rs
+++ b/crates/valehold-gateway/src/control/feeds/tests.rs
@@ -199,7 +199,9 @@
 /// Returns the newest version that an input tells of.
 fn version_of(input: &Input) -> u64 {
     match input {
-        Input::CatalogHeard { catalog: Some(catalog), .. } => catalog.version,
+        Input::CatalogUpdated { catalog: Some(catalog), .. } => {
+            catalog.version
+        }
         Input::ListingRead(listing) => listing.version,
         Input::ListingChanged(ListingNews::Changed { version, .. }) => {
             version.unwrap_or(0)
--- a/crates/valehold-gateway/src/control/input.rs
+++ b/crates/valehold-gateway/src/control/input.rs
@@ -23,7 +23,7 @@
 
 /// A write of the lease that was sent.
 #[derive(Debug, Clone)]
-pub(super) struct SentLease {
+pub(super) struct SentLeaseWrite {
     pub(super) version: u64,
     pub(super) row: valehold_core::lease::LeaseRow,
     pub(super) takes: bool,
@@ -32,25 +32,25 @@
 
 /// An order that was given, or was to be.
 #[derive(Debug, Clone)]
-pub(super) struct GivenOrder {
+pub(super) struct PendingOrder {
     pub(super) engine: UpstreamStart,
     pub(super) address: SocketAddr,
-    pub(super) wish: OrderWish,
+    pub(super) action: OrderWish,
     pub(super) expected_sequence: u64,
     /// The epoch under which it was planned.
     pub(super) epoch: u64,
     /// When it was planned.
-    pub(super) planned: Millis,
+    pub(super) planned_at: Millis,
     /// For a load of a model, where the model is to come from.
     pub(super) source: Option<LoadSource>,
     /// The least time that carrying it out takes, in ms, if the engine has
     /// no copy.
-    pub(super) least_ms: u64,
+    pub(super) min_duration_ms: u64,
 }
 
-impl GivenOrder {
+impl PendingOrder {
     /// Returns which of the orders that its engine takes it is.
-    pub(super) fn place(&self) -> OrderPlace {
+    pub(super) fn position(&self) -> OrderPlace {
         let start = self.engine.clone();
         OrderPlace { start, sequence: self.expected_sequence }
     }
@@ -58,7 +58,7 @@
 
 /// How an order ended.
 #[derive(Debug)]
-pub(super) enum OrderEnd {
+pub(super) enum OrderResult {
     /// The engine answered.
     Answered(OrderAnswer),
     /// No answer: it may be carried out, also later.
@@ -68,9 +68,9 @@
     NotSent,
 }
 
-impl OrderEnd {
+impl OrderResult {
     /// Tells whether the engine said that it leaves.
-    pub(super) fn says_leaving(&self) -> bool {
+    pub(super) fn reports_leaving(&self) -> bool {
         matches!(self, Self::Answered(answer) if answer.leaving)
     }
 
@@ -83,13 +83,13 @@
     }
 
     /// Tells whether the engine took it, or holds what it is for.
-    pub(super) fn was_taken(&self) -> bool {
-        let taken = [OrderOutcome::Accepted, OrderOutcome::Holds];
-        self.outcome().is_some_and(|outcome| taken.contains(&outcome))
+    pub(super) fn was_accepted(&self) -> bool {
+        let accepted = [OrderOutcome::Accepted, OrderOutcome::Holds];
+        self.outcome().is_some_and(|outcome| accepted.contains(&outcome))
     }
 
     /// Returns what it says of the load that was ordered.
-    pub(super) fn of_load(&self) -> LoadEnd {
+    pub(super) fn load_outcome(&self) -> LoadEnd {
         match self {
             Self::NotSent => LoadEnd::NotBegun,
             Self::Answered(answer) => match answer.outcome {
@@ -124,7 +124,7 @@
 #[derive(Debug)]
 pub(super) enum Input {
     /// The store answered a read of what operators wrote or a watch on it.
-    CatalogHeard {
+    CatalogUpdated {
         /// The store's version.
         version: u64,
         /// The configuration, if there is a newer one.
@@ -153,13 +153,16 @@
     /// The lease's row was read.
     LeaseRead(Result<LeaseSight, PortError>),
     /// A write of the lease ended.
-    LeaseWritten(SentLease, Result<LeaseWrite, PortError>),
+    LeaseWritten(SentLeaseWrite, Result<LeaseWrite, PortError>),
     /// An engine reported.
-    Reported { start: UpstreamStart, report: Result<EngineReport, PortError> },
+    EngineReported {
+        start: UpstreamStart,
+        report: Result<EngineReport, PortError>,
+    },
     /// An order ended.
-    Ordered(GivenOrder, OrderEnd),
+    OrderFinished(PendingOrder, OrderResult),
     /// A call about the record of refused requests ended.
-    Recorded(RecordDone),
+    RecordCallFinished(RecordDone),
     /// A datagram came.
     Datagram(SocketAddr, Vec<u8>),
 }
--- a/crates/valehold-gateway/src/control/lease.rs
+++ b/crates/valehold-gateway/src/control/lease.rs
@@ -35,7 +35,7 @@
     port::fleet::{FleetStore, LeaseSight, LeaseWrite},
 };
 
-use super::input::{Input, SentLease};
+use super::input::{Input, SentLeaseWrite};
 use crate::{
     events::Event,
     peers::message::{LeaseRumour, LeaseWord},
@@ -47,50 +47,50 @@
     LeaseTerms { term_ms: 3_600, margin_ms: 600, renew_after_ms: 700 };
 
 /// How long an order may be on its way, in ms.
-const ORDER_FLIGHT_MS: u64 = 800;
+const ORDER_TRANSIT_MS: u64 = 800;
 
 /// By how much two readings of the store's clock may differ, in ms.
-const CLOCK_SLACK_MS: u64 = 500;
+const CLOCK_TOLERANCE_MS: u64 = 500;
 
 /// How long a gateway waits between two calls about the lease, in ms.
-const CALL_EVERY_MS: u64 = 250;
+const CALL_INTERVAL_MS: u64 = 250;
 
 /// Of how many places each adds such a wait between the calls of a gateway
 /// that contends for the lease: those further down wait for those before.
-const PLACES_EACH_WAIT: u64 = 2;
+const POSITIONS_PER_INTERVAL: u64 = 2;
 
 /// How long nobody may be heard to hold the lease before the first gateway
 /// contends for it, in ms.
 const VACANT_MS: u64 = 100;
 
 /// How much longer each further gateway waits, in ms.
-const VACANT_EACH_MS: u64 = 250;
+const VACANT_STEP_MS: u64 = 250;
 
 /// After how long without a renewal a holder gives up what others could
 /// hold, in ms.
-const GIVE_UP_AFTER_MS: u64 = 1_500;
+const RELEASE_AFTER_MS: u64 = 1_500;
 
 /// The epochs of an era of the store begin at so many times its number: those
 /// that were given out in writes that are gone are not given out again.
-const EPOCHS_IN_ERA: u64 = 1 << 20;
+const EPOCHS_PER_ERA: u64 = 1 << 20;
 
 /// What other gateways say.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Around {
+pub(super) struct PeerLeaseState {
     /// Whether another one is heard to hold the lease.
-    pub(super) holder_heard: bool,
+    pub(super) has_holder: bool,
     /// Whether another one hears the store.
-    pub(super) store_heard: bool,
+    pub(super) others_reach_store: bool,
     /// This gateway's place among all, from 0.
-    pub(super) place: usize,
+    pub(super) position: usize,
 }
 
 /// A holder's word that it gave an epoch up.
 #[derive(Debug, Clone, Copy)]
-struct GivenUp {
+struct ReleasedEpoch {
     epoch: u64,
     /// From when on another's orders may come.
-    quiet_until: Millis,
+    next_orders_from: Millis,
 }
 
 /// The store's clock, read at one moment.
@@ -117,20 +117,20 @@
 
 /// Who held the lease before this gateway takes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Before {
+enum PreviousHolder {
     /// Nobody.
-    Nobody,
+    NoHolder,
     /// This process: it knows what it ordered.
-    This,
+    ThisProcess,
     /// This gateway, by a write of which it had no answer or before it was
     /// started: what was ordered then is not known.
-    Own,
+    EarlierProcess,
     /// Another gateway.
-    Another,
+    OtherGateway,
 }
 
 /// This gateway's part in the lease.
-pub(super) struct LeaseDuty {
+pub(super) struct LeaseManager {
     me: InstanceId,
     /// When this process started.
     started: Millis,
@@ -138,35 +138,35 @@
     store: Arc<dyn FleetStore>,
     inputs: mpsc::UnboundedSender<Input>,
     quiet_ms: u64,
-    under_way: bool,
-    called: Millis,
-    renewed: Millis,
+    call_in_flight: bool,
+    called_at: Millis,
+    renewed_at: Millis,
     vacant_since: Option<Millis>,
     clock: Option<StoreClock>,
     /// From when on the epoch that is held, or is being taken, allows orders.
     orders_from: Millis,
     /// When an order was last sent, or may have been, since another gateway
     /// held the lease.
-    ordered: Option<Millis>,
+    last_order: Option<Millis>,
     /// The last epoch that this process held.
-    held: Option<u64>,
+    last_epoch: Option<u64>,
     /// What is to be counted of loads that others ordered, once it is taken.
-    inheritance: Option<Inheritance>,
+    inherited_loads: Option<Inheritance>,
     /// Loads that were ordered without an answer, which the row tells.
     lost_loads: LostLoads,
     /// The row's version when its holder was heard last.
-    heard: Option<(u64, Millis)>,
+    reported_version: Option<(u64, Millis)>,
     /// The store's era, as far as the lease's calls say.
     era: u64,
     /// The row, where it is from before the store came back from a copy, and
     /// since when it stands still.
-    restored: Option<(Option<LeaseRow>, Millis)>,
-    other_gave_up: Option<GivenUp>,
-    gave_up: Option<GivenUp>,
+    restored_row: Option<(Option<LeaseRow>, Millis)>,
+    peer_release: Option<ReleasedEpoch>,
+    own_release: Option<ReleasedEpoch>,
     version: u64,
 }
 
-impl LeaseDuty {
+impl LeaseManager {
     pub(super) fn new(
         me: InstanceId,
         quiet_ms: u64,
@@ -181,21 +181,21 @@
             store,
             inputs,
             quiet_ms,
-            under_way: false,
-            called: Millis::default(),
-            renewed: Millis::default(),
+            call_in_flight: false,
+            called_at: Millis::default(),
+            renewed_at: Millis::default(),
             vacant_since: None,
             clock: None,
             orders_from: Millis::default(),
-            ordered: None,
-            held: None,
-            inheritance: None,
+            last_order: None,
+            last_epoch: None,
+            inherited_loads: None,
             lost_loads: LostLoads::default(),
-            heard: None,
+            reported_version: None,
             era: 0,
-            restored: None,
-            other_gave_up: None,
-            gave_up: None,
+            restored_row: None,
+            peer_release: None,
+            own_release: None,
             version: 0,
         }
     }
@@ -214,95 +214,102 @@
     /// Returns the epoch if an order may be given, and notes that one is.
     pub(super) fn take_order_epoch(&mut self, now: Millis) -> Option<u64> {
         let epoch = self.order_epoch(now)?;
-        self.ordered = Some(now);
+        self.last_order = Some(now);
         Some(epoch)
     }
 
     /// Returns what peers are told.
-    pub(super) fn word(&self, now: Millis) -> Option<LeaseWord> {
+    pub(super) fn claim(&self, now: Millis) -> Option<LeaseWord> {
         if let Some(epoch) = self.held_epoch(now) {
             let version = self.version;
             return Some(LeaseWord::Holds { epoch, version });
         }
-        self.gave_up.map(|given_up| LeaseWord::GaveUp {
-            epoch: given_up.epoch,
-            quiet_ms: given_up.quiet_until.since(now),
+        self.own_release.map(|released| LeaseWord::GaveUp {
+            epoch: released.epoch,
+            quiet_ms: released.next_orders_from.since(now),
         })
     }
 
     /// Takes in what a peer says.
-    pub(super) fn heard(&mut self, rumour: LeaseRumour, now: Millis) {
-        match rumour.word {
+    pub(super) fn on_lease_report(
+        &mut self,
+        report: LeaseRumour,
+        now: Millis,
+    ) {
+        match report.word {
             LeaseWord::Holds { version, .. } => {
                 // Later than it was said, so that its term counts whole.
-                let known = self.heard.filter(|(v, _)| *v >= version);
-                self.heard = known.or(Some((version, now)));
+                let previous =
+                    self.reported_version.filter(|(v, _)| *v >= version);
+                self.reported_version = previous.or(Some((version, now)));
             }
             LeaseWord::GaveUp { epoch, quiet_ms } => {
-                let quiet_until = now + quiet_ms;
-                self.other_gave_up = Some(GivenUp { epoch, quiet_until });
+                let next_orders_from = now + quiet_ms;
+                self.peer_release =
+                    Some(ReleasedEpoch { epoch, next_orders_from });
                 self.keeper.given_up(epoch);
             }
         }
     }
 
     /// Does what is due.
-    pub(super) fn tick(&mut self, now: Millis, around: Around) {
+    pub(super) fn tick(&mut self, now: Millis, peers: PeerLeaseState) {
         if let Some(epoch) = self.held_epoch(now) {
             self.vacant_since = None;
-            let is_late = now.since(self.renewed) >= GIVE_UP_AFTER_MS;
-            if is_late && around.store_heard {
-                self.give_up(epoch, now);
+            let is_overdue = now.since(self.renewed_at) >= RELEASE_AFTER_MS;
+            if is_overdue && peers.others_reach_store {
+                self.release(epoch, now);
                 return;
             }
         }
-        let rested_ms = now.since(self.called);
-        if self.under_way || rested_ms < CALL_EVERY_MS {
+        let idle_ms = now.since(self.called_at);
+        if self.call_in_flight || idle_ms < CALL_INTERVAL_MS {
             return;
         }
         if self.held_epoch(now).is_some() {
-            self.act(now);
+            self.renew_if_due(now);
             return;
         }
-        if around.holder_heard {
+        if peers.has_holder {
             self.vacant_since = None;
             return;
         }
         let since = *self.vacant_since.get_or_insert(now);
-        let place = around.place as u64;
-        let wait = VACANT_MS + VACANT_EACH_MS * place;
-        let rest = CALL_EVERY_MS * (1 + place / PLACES_EACH_WAIT);
-        if now.since(since) >= wait && rested_ms >= rest {
+        let position = peers.position as u64;
+        let wait = VACANT_MS + VACANT_STEP_MS * position;
+        let interval =
+            CALL_INTERVAL_MS * (1 + position / POSITIONS_PER_INTERVAL);
+        if now.since(since) >= wait && idle_ms >= interval {
             self.read(now);
         }
     }
 
-    fn give_up(&mut self, epoch: u64, now: Millis) {
+    fn release(&mut self, epoch: u64, now: Millis) {
         Event::LeaseGivenUp { epoch }.log();
-        let quiet_until = self.quiet_until(now);
+        let next_orders_from = self.next_orders_from(now);
         self.keeper.give_up(now);
-        self.gave_up = Some(GivenUp { epoch, quiet_until });
+        self.own_release = Some(ReleasedEpoch { epoch, next_orders_from });
         self.vacant_since = Some(now);
     }
 
     /// Returns from when on the next holder's orders may come, if this one
     /// gives no more.
-    fn quiet_until(&self, now: Millis) -> Millis {
-        let bound = self.quiet_ms + ORDER_FLIGHT_MS;
-        let after = self.ordered.map_or(now, |ordered| ordered + bound);
-        after.max(self.orders_from)
+    fn next_orders_from(&self, now: Millis) -> Millis {
+        let bound = self.quiet_ms + ORDER_TRANSIT_MS;
+        let earliest = self.last_order.map_or(now, |ordered| ordered + bound);
+        earliest.max(self.orders_from)
     }
 
-    fn act(&mut self, now: Millis) {
+    fn renew_if_due(&mut self, now: Millis) {
         if let LeaseStep::Write { version, row, takes } = self.keeper.step(now)
         {
-            self.write(SentLease { version, row, takes, sent: now });
+            self.write(SentLeaseWrite { version, row, takes, sent: now });
         }
     }
 
     fn read(&mut self, now: Millis) {
-        self.under_way = true;
-        self.called = now;
+        self.call_in_flight = true;
+        self.called_at = now;
         let (store, inputs) = (self.store.clone(), self.inputs.clone());
         tokio::task::spawn_local(async move {
             let read = store.read_lease().await;
@@ -310,9 +317,9 @@
         });
     }
 
-    fn write(&mut self, mut write: SentLease) {
-        self.under_way = true;
-        self.called = write.sent;
+    fn write(&mut self, mut write: SentLeaseWrite) {
+        self.call_in_flight = true;
+        self.called_at = write.sent;
         if let Some(clock) = self.clock {
             // Until it is won, a lease that is taken tells what it told before.
             if !write.takes {
@@ -322,7 +329,7 @@
                 write.row.lost_until = clock.store_time(until);
             }
             let from = clock.store_time(self.orders_from);
-            write.row.orders_from = from + CLOCK_SLACK_MS;
+            write.row.orders_from = from + CLOCK_TOLERANCE_MS;
         }
         let (store, inputs) = (self.store.clone(), self.inputs.clone());
         tokio::task::spawn_local(async move {
@@ -332,12 +339,12 @@
     }
 
     /// Takes in the row.
-    pub(super) fn read_done(
+    pub(super) fn on_read(
         &mut self,
         read: Result<LeaseSight, PortError>,
         now: Millis,
     ) {
-        self.under_way = false;
+        self.call_in_flight = false;
         let sight = match read {
             Ok(sight) => sight,
             Err(error) => {
@@ -346,37 +353,47 @@
             }
         };
         let LeaseInEra { lease, is_restored } = sight.lease;
-        if !self.note_era(lease.version) {
+        if !self.update_era(lease.version) {
             return;
         }
         self.clock = Some(StoreClock { store_ms: sight.store_ms, read: now });
         if is_restored {
-            self.take_restored(lease, now);
+            self.take_restored_lease(lease, now);
             return;
         }
         let row = lease.row.clone();
         // A row that stands as its holder told stands since then.
-        let since = match self.heard {
+        let since = match self.reported_version {
             Some((version, at)) if version == lease.version => at,
             _ => now,
         };
         self.keeper.row_read(lease, since);
-        if let LeaseStep::Write { version, row: taken, takes } =
+        if let LeaseStep::Write { version, row: new_row, takes } =
             self.keeper.step(now)
         {
-            self.orders_from = self.first_order(row.as_ref(), now);
-            let before = self.before(row.as_ref());
+            self.orders_from = self.orders_allowed_from(row.as_ref(), now);
+            let previous_holder = self.previous_holder(row.as_ref());
             // What was not taken up of a term that was missed stays.
-            if before != Before::This {
-                self.inheritance = self.inherited(before, row.as_ref());
+            if previous_holder != PreviousHolder::ThisProcess {
+                self.inherited_loads =
+                    self.inherited_loads(previous_holder, row.as_ref());
             }
-            self.ordered = match before {
-                Before::This => self.ordered,
+            self.last_order = match previous_holder {
+                PreviousHolder::ThisProcess => self.last_order,
                 // Its last order may have been sent when it ended.
-                Before::Own => self.ordered.max(Some(self.started)),
-                Before::Nobody | Before::Another => None,
+                PreviousHolder::EarlierProcess => {
+                    self.last_order.max(Some(self.started))
+                }
+                PreviousHolder::NoHolder | PreviousHolder::OtherGateway => {
+                    None
+                }
             };
-            self.write(SentLease { version, row: taken, takes, sent: now });
+            self.write(SentLeaseWrite {
+                version,
+                row: new_row,
+                takes,
+                sent: now,
+            });
         }
     }
 
@@ -384,12 +401,12 @@
     ///
     /// What was said of the lease in an earlier one says nothing of the row
     /// that stands there now.
-    fn note_era(&mut self, version: u64) -> bool {
+    fn update_era(&mut self, version: u64) -> bool {
         let era = StoreVersion::of(version).era;
         if era > self.era {
             self.era = era;
-            self.restored = None;
-            self.other_gave_up = None;
+            self.restored_row = None;
+            self.peer_release = None;
         }
         era == self.era
     }
@@ -398,54 +415,64 @@
     /// a copy, once whoever held it last, perhaps by a write that is gone,
     /// holds it no longer. A row that goes on changing has a holder that knows
     /// no eras: a gateway of an earlier version.
-    fn take_restored(&mut self, lease: VersionedLease, now: Millis) {
-        let before = lease.row.clone();
-        let known = self.restored.take().filter(|(row, _)| *row == before);
-        let since = known.map_or(now, |(_, since)| since);
-        self.restored = Some((before.clone(), since));
+    fn take_restored_lease(&mut self, lease: VersionedLease, now: Millis) {
+        let old_row = lease.row.clone();
+        let previous =
+            self.restored_row.take().filter(|(row, _)| *row == old_row);
+        let since = previous.map_or(now, |(_, since)| since);
+        self.restored_row = Some((old_row.clone(), since));
         if now.since(since) < TERMS.term_ms {
             return;
         }
-        let free = |row| LeaseRow { holder: None, ..row };
-        let lease = VersionedLease { row: lease.row.map(free), ..lease };
+        let without_holder = |row| LeaseRow { holder: None, ..row };
+        let lease =
+            VersionedLease { row: lease.row.map(without_holder), ..lease };
         self.keeper.row_read(lease, now);
         if let LeaseStep::Write { version, mut row, takes } =
             self.keeper.step(now)
         {
-            let least = self.era.saturating_mul(EPOCHS_IN_ERA);
-            row.epoch = row.epoch.max(least);
-            self.orders_from = after_another(now, self.quiet_ms);
-            self.inheritance =
-                self.inherited(Before::Another, before.as_ref());
-            self.ordered = None;
-            self.write(SentLease { version, row, takes, sent: now });
+            let min_epoch = self.era.saturating_mul(EPOCHS_PER_ERA);
+            row.epoch = row.epoch.max(min_epoch);
+            self.orders_from = first_orders_after(now, self.quiet_ms);
+            self.inherited_loads = self.inherited_loads(
+                PreviousHolder::OtherGateway,
+                old_row.as_ref(),
+            );
+            self.last_order = None;
+            self.write(SentLeaseWrite { version, row, takes, sent: now });
         }
     }
 
     /// Returns who held the lease before, by its row.
-    fn before(&self, row: Option<&LeaseRow>) -> Before {
-        let Some(row) = row else { return Before::Nobody };
+    fn previous_holder(&self, row: Option<&LeaseRow>) -> PreviousHolder {
+        let Some(row) = row else { return PreviousHolder::NoHolder };
         let is_own = row.holder.as_ref() == Some(&self.me);
         match is_own {
-            true if self.held == Some(row.epoch) => Before::This,
-            true => Before::Own,
-            false => Before::Another,
+            true if self.last_epoch == Some(row.epoch) => {
+                PreviousHolder::ThisProcess
+            }
+            true => PreviousHolder::EarlierProcess,
+            false => PreviousHolder::OtherGateway,
         }
     }
 
     /// Returns what loads were ordered by others, if the lease is taken over
     /// what the row says: their last orders arrive the quiet time before the
     /// first ones of this holder.
-    fn inherited(
+    fn inherited_loads(
         &self,
-        before: Before,
+        previous_holder: PreviousHolder,
         row: Option<&LeaseRow>,
     ) -> Option<Inheritance> {
-        let quiet_from = self.orders_from - self.quiet_ms;
-        let until = match before {
-            Before::Nobody | Before::This => return None,
-            Before::Own => quiet_from.max(self.started + ORDER_FLIGHT_MS),
-            Before::Another => quiet_from,
+        let quiet_since = self.orders_from - self.quiet_ms;
+        let until = match previous_holder {
+            PreviousHolder::NoHolder | PreviousHolder::ThisProcess => {
+                return None;
+            }
+            PreviousHolder::EarlierProcess => {
+                quiet_since.max(self.started + ORDER_TRANSIT_MS)
+            }
+            PreviousHolder::OtherGateway => quiet_since,
         };
         let (row, clock) = (row?, self.clock?);
         let lost = LostLoads {
@@ -456,48 +483,52 @@
     }
 
     /// Returns what is to be counted of loads that others ordered, once.
-    pub(super) fn take_inheritance(&mut self) -> Option<Inheritance> {
-        self.inheritance.take()
+    pub(super) fn take_inherited_loads(&mut self) -> Option<Inheritance> {
+        self.inherited_loads.take()
     }
 
     /// Takes in which loads were ordered without an answer.
-    pub(super) fn note_lost_loads(&mut self, lost: LostLoads) {
+    pub(super) fn set_lost_loads(&mut self, lost: LostLoads) {
         self.lost_loads = lost;
     }
 
     /// Returns from when on orders may be given, if the lease is taken over
     /// what the row says.
-    fn first_order(&self, row: Option<&LeaseRow>, now: Millis) -> Millis {
+    fn orders_allowed_from(
+        &self,
+        row: Option<&LeaseRow>,
+        now: Millis,
+    ) -> Millis {
         let (Some(row), Some(clock)) = (row, self.clock) else { return now };
         let stated = clock.local_time(row.orders_from);
         let Some(holder) = &row.holder else { return stated };
         if *holder == self.me {
             return stated;
         }
-        match self.other_gave_up {
-            Some(given_up) if given_up.epoch == row.epoch => {
-                given_up.quiet_until.max(now)
+        match self.peer_release {
+            Some(released) if released.epoch == row.epoch => {
+                released.next_orders_from.max(now)
             }
-            _ => after_another(now, self.quiet_ms),
+            _ => first_orders_after(now, self.quiet_ms),
         }
     }
 
     /// Takes in how a write ended.
-    pub(super) fn write_done(
+    pub(super) fn on_write(
         &mut self,
-        write: SentLease,
+        write: SentLeaseWrite,
         written: Result<LeaseWrite, PortError>,
         now: Millis,
     ) {
-        self.under_way = false;
+        self.call_in_flight = false;
         match written {
             Ok(LeaseWrite::Won { version, store_ms }) => {
                 self.clock = Some(StoreClock { store_ms, read: now });
-                self.won(write, version, now);
+                self.on_write_won(write, version, now);
             }
             Ok(LeaseWrite::Lost) => self.keeper.write_lost(write.takes),
             Ok(LeaseWrite::OtherEra { version }) => {
-                let is_latest = self.note_era(version);
+                let is_latest = self.update_era(version);
                 let holds = self.held_epoch(now).is_some() && !write.takes;
                 match holds && is_latest {
                     // Nobody can have taken it while its term lasts.
@@ -515,19 +546,24 @@
         }
     }
 
-    fn won(&mut self, write: SentLease, version: u64, now: Millis) {
+    fn on_write_won(
+        &mut self,
+        write: SentLeaseWrite,
+        version: u64,
+        now: Millis,
+    ) {
         if write.row.holder.is_none() {
             return;
         }
         if write.takes {
             Event::LeaseTaken { epoch: write.row.epoch }.log();
-            self.held = Some(write.row.epoch);
-            self.gave_up = None;
+            self.last_epoch = Some(write.row.epoch);
+            self.own_release = None;
         } else if self.held_epoch(now).is_none() {
             // Given up in the meantime.
             return;
         }
-        self.renewed = write.sent;
+        self.renewed_at = write.sent;
         self.version = version;
         let row = Some(write.row);
         let lease = VersionedLease { version, row };
@@ -536,21 +572,21 @@
 
     /// Gives the lease up, since this gateway leaves.
     pub(super) fn step_down(&mut self, now: Millis) {
-        let quiet_until = self.quiet_until(now);
+        let next_orders_from = self.next_orders_from(now);
         if let Some(epoch) = self.held_epoch(now) {
-            self.gave_up = Some(GivenUp { epoch, quiet_until });
+            self.own_release = Some(ReleasedEpoch { epoch, next_orders_from });
         }
         if let Some(LeaseStep::Write { version, row, takes }) =
             self.keeper.step_down(now)
         {
-            self.orders_from = quiet_until;
-            self.write(SentLease { version, row, takes, sent: now });
+            self.orders_from = next_orders_from;
+            self.write(SentLeaseWrite { version, row, takes, sent: now });
         }
     }
 }
 
 /// Returns from when on orders may be given after another holder's term is
 /// over.
-fn after_another(now: Millis, quiet_ms: u64) -> Millis {
-    now + quiet_ms + ORDER_FLIGHT_MS - TERMS.margin_ms
+fn first_orders_after(now: Millis, quiet_ms: u64) -> Millis {
+    now + quiet_ms + ORDER_TRANSIT_MS - TERMS.margin_ms
 }
--- a/crates/valehold-gateway/src/control/lease/tests.rs
+++ b/crates/valehold-gateway/src/control/lease/tests.rs
@@ -29,7 +29,7 @@
     },
 };
 
-use super::{Around, LeaseDuty};
+use super::{LeaseManager, PeerLeaseState};
 use crate::control::input::Input;
 
 /// How long no one may give orders between two holders, in ms.
@@ -39,11 +39,15 @@
 const SETTLED_MS: u64 = 1_000;
 
 /// Hears of no holder, and need not wait for others.
-const ALONE: Around =
-    Around { holder_heard: false, store_heard: true, place: 0 };
+const ALONE: PeerLeaseState = PeerLeaseState {
+    has_holder: false,
+    others_reach_store: true,
+    position: 0,
+};
 
 /// Loads without an answer.
-const SEVEN: LostLoads = LostLoads { count: 7, until: Millis::new(19_000) };
+const SEVEN_LOST_LOADS: LostLoads =
+    LostLoads { count: 7, until: Millis::new(19_000) };
 
 /// A store of one row.
 struct RowStore {
@@ -68,7 +72,7 @@
     }
 
     /// Comes back from a copy.
-    fn come_back_from(&self, copy: &VersionedLease) {
+    fn restore_from(&self, copy: &VersionedLease) {
         let era = self.era.fetch_add(1, Ordering::SeqCst) + 1;
         let version = StoreVersion { era, version: 0 }.rising();
         let row = copy.row.clone();
@@ -83,19 +87,19 @@
 
 impl FleetStore for RowStore {
     fn read_catalog(&self) -> Answer<'_, CatalogNews> {
-        unasked()
+        not_supported()
     }
 
     fn await_catalog(&self, _: u64, _: WatchSpan) -> Answer<'_, CatalogNews> {
-        unasked()
+        not_supported()
     }
 
     fn read_listing(&self) -> Answer<'_, Listing> {
-        unasked()
+        not_supported()
     }
 
     fn await_listing(&self, _: u64, _: WatchSpan) -> Answer<'_, ListingNews> {
-        unasked()
+        not_supported()
     }
 
     fn read_lease(&self) -> Answer<'_, LeaseSight> {
@@ -130,21 +134,21 @@
     }
 
     fn read_refused(&self) -> Answer<'_, RecordSight> {
-        unasked()
+        not_supported()
     }
 
     fn write_refused<'a>(&'a self, _: &'a RecordChange) -> Answer<'a, ()> {
-        unasked()
+        not_supported()
     }
 }
 
-fn unasked<'a, T: Send + 'a>() -> Answer<'a, T> {
+fn not_supported<'a, T: Send + 'a>() -> Answer<'a, T> {
     async { Err(PortError::malformed("not asked for here")) }.boxed()
 }
 
 /// A gateway's part in the lease.
 struct Member {
-    duty: LeaseDuty,
+    manager: LeaseManager,
     inputs: mpsc::UnboundedReceiver<Input>,
     store: Arc<RowStore>,
 }
@@ -154,26 +158,26 @@
     fn start(store: &Arc<RowStore>, name: &str, now: u64) -> Self {
         let (sender, inputs) = mpsc::unbounded_channel();
         let me = InstanceId::new(name);
-        let duty =
-            LeaseDuty::new(me, QUIET_MS, store.clone(), sender, at(now));
-        Self { duty, inputs, store: store.clone() }
+        let manager =
+            LeaseManager::new(me, QUIET_MS, store.clone(), sender, at(now));
+        Self { manager, inputs, store: store.clone() }
     }
 
     /// Lets it act at a moment, until its calls are over.
     async fn act(&mut self, now: u64) {
         self.store.clock_ms.store(now, Ordering::SeqCst);
         let now = at(now);
-        self.duty.tick(now, ALONE);
-        self.hear(now).await;
+        self.manager.tick(now, ALONE);
+        self.process_inputs(now).await;
     }
 
-    async fn hear(&mut self, now: Millis) {
+    async fn process_inputs(&mut self, now: Millis) {
         tokio::task::yield_now().await;
         while let Ok(input) = self.inputs.try_recv() {
             match input {
-                Input::LeaseRead(read) => self.duty.read_done(read, now),
+                Input::LeaseRead(read) => self.manager.on_read(read, now),
                 Input::LeaseWritten(write, written) => {
-                    self.duty.write_done(write, written, now);
+                    self.manager.on_write(write, written, now);
                 }
                 other => panic!("{other:?}"),
             }
@@ -190,13 +194,13 @@
 
     async fn step_down(&mut self, now: u64) {
         self.store.clock_ms.store(now, Ordering::SeqCst);
-        self.duty.step_down(at(now));
-        self.hear(at(now)).await;
+        self.manager.step_down(at(now));
+        self.process_inputs(at(now)).await;
     }
 
     /// Gives an order if it may.
     fn order(&mut self, now: u64) -> bool {
-        self.duty.take_order_epoch(at(now)).is_some()
+        self.manager.take_order_epoch(at(now)).is_some()
     }
 }
 
@@ -219,11 +223,11 @@
         drop(first);
         let mut again = Member::start(&store, "g1", 5_100);
         again.act_from(5_100 + SETTLED_MS, 6_500).await;
-        expect_true!(again.duty.held_epoch(at(6_500)).is_some());
+        expect_true!(again.manager.held_epoch(at(6_500)).is_some());
         again.step_down(6_500).await;
         let mut next = Member::start(&store, "g2", 0);
         next.act_from(6_550, 5_000 + QUIET_MS).await;
-        expect_true!(next.duty.held_epoch(at(8_000)).is_some());
+        expect_true!(next.manager.held_epoch(at(8_000)).is_some());
         expect_false!(next.order(5_000 + QUIET_MS));
         next.act_from(5_000 + QUIET_MS, 12_000).await;
         expect_true!(next.order(12_000));
@@ -243,29 +247,32 @@
         expect_true!(holder.order(7_500));
         // No renewal for longer than the term.
         holder.act_from(9_000, 9_600).await;
-        expect_true!(holder.duty.held_epoch(at(9_600)).is_some());
+        expect_true!(holder.manager.held_epoch(at(9_600)).is_some());
         holder.step_down(9_600).await;
         let mut next = Member::start(&store, "g2", 0);
         next.act_from(9_650, 7_500 + QUIET_MS).await;
-        expect_true!(next.duty.held_epoch(at(10_500)).is_some());
+        expect_true!(next.manager.held_epoch(at(10_500)).is_some());
         expect_false!(next.order(7_500 + QUIET_MS));
     };
     LocalSet::new().run_until(steps).await;
 }
 
 /// Lets a gateway take the lease, and returns what it counts of others' loads.
-async fn inherited(member: &mut Member, from: u64) -> Option<Inheritance> {
+async fn inherited_loads(
+    member: &mut Member,
+    from: u64,
+) -> Option<Inheritance> {
     member.act_from(from, from + 5_000).await;
-    expect_true!(member.duty.held_epoch(at(from + 5_000)).is_some());
-    member.duty.take_inheritance()
+    expect_true!(member.manager.held_epoch(at(from + 5_000)).is_some());
+    member.manager.take_inherited_loads()
 }
 
 /// Checks that the row told of [`SEVEN`].
-fn expect_seven(lost: LostLoads) {
+fn expect_seven_lost_loads(lost: LostLoads) {
     expect_that!(lost.count, eq(7));
     // Told on the store's clock, which is read a little late at the most.
-    expect_that!(lost.until, ge(SEVEN.until));
-    expect_that!(lost.until, le(SEVEN.until + 500));
+    expect_that!(lost.until, ge(SEVEN_LOST_LOADS.until));
+    expect_that!(lost.until, le(SEVEN_LOST_LOADS.until + 500));
 }
 
 #[gtest]
@@ -273,7 +280,7 @@
 async fn nothing_is_inherited_of_nobody() {
     let steps = async {
         let mut first = Member::start(&RowStore::new(), "g1", 0);
-        expect_that!(inherited(&mut first, SETTLED_MS).await, none());
+        expect_that!(inherited_loads(&mut first, SETTLED_MS).await, none());
     };
     LocalSet::new().run_until(steps).await;
 }
@@ -283,9 +290,9 @@
 async fn a_process_that_lost_its_term_knows_what_it_ordered() {
     let steps = async {
         let mut holder = Member::start(&RowStore::new(), "g1", 0);
-        inherited(&mut holder, SETTLED_MS).await;
-        let again = inherited(&mut holder, 20_000).await;
-        expect_that!(holder.duty.held_epoch(at(25_000)), some(eq(2)));
+        inherited_loads(&mut holder, SETTLED_MS).await;
+        let again = inherited_loads(&mut holder, 20_000).await;
+        expect_that!(holder.manager.held_epoch(at(25_000)), some(eq(2)));
         expect_that!(again, none());
     };
     LocalSet::new().run_until(steps).await;
@@ -297,16 +304,16 @@
     let steps = async {
         let store = RowStore::new();
         let mut first = Member::start(&store, "g1", 0);
-        inherited(&mut first, SETTLED_MS).await;
-        first.duty.note_lost_loads(SEVEN);
+        inherited_loads(&mut first, SETTLED_MS).await;
+        first.manager.set_lost_loads(SEVEN_LOST_LOADS);
         first.act_from(6_000, 8_000).await;
         drop(first);
         let mut again = Member::start(&store, "g1", 8_100);
-        let others = inherited(&mut again, 8_100 + SETTLED_MS).await;
-        let others = others.expect("what the last process ordered");
-        expect_that!(others.until, ge(at(8_100)));
-        expect_that!(others.until, le(at(9_100)));
-        expect_seven(others.lost);
+        let inherited = inherited_loads(&mut again, 8_100 + SETTLED_MS).await;
+        let inherited = inherited.expect("what the last process ordered");
+        expect_that!(inherited.until, ge(at(8_100)));
+        expect_that!(inherited.until, le(at(9_100)));
+        expect_seven_lost_loads(inherited.lost);
     };
     LocalSet::new().run_until(steps).await;
 }
@@ -317,16 +324,16 @@
     let steps = async {
         let store = RowStore::new();
         let mut first = Member::start(&store, "g1", 0);
-        inherited(&mut first, SETTLED_MS).await;
-        first.duty.note_lost_loads(SEVEN);
+        inherited_loads(&mut first, SETTLED_MS).await;
+        first.manager.set_lost_loads(SEVEN_LOST_LOADS);
         expect_true!(first.order(6_000));
         first.step_down(6_050).await;
         let mut next = Member::start(&store, "g2", 0);
-        let others = inherited(&mut next, 6_100).await;
-        let others = others.expect("what the last holder ordered");
-        expect_that!(others.until, ge(at(6_000)));
-        expect_that!(others.until, le(at(8_000)));
-        expect_seven(others.lost);
+        let inherited = inherited_loads(&mut next, 6_100).await;
+        let inherited = inherited.expect("what the last holder ordered");
+        expect_that!(inherited.until, ge(at(6_000)));
+        expect_that!(inherited.until, le(at(8_000)));
+        expect_seven_lost_loads(inherited.lost);
     };
     LocalSet::new().run_until(steps).await;
 }
@@ -340,22 +347,22 @@
     let steps = async {
         let store = RowStore::new();
         let mut first = Member::start(&store, "g1", 0);
-        inherited(&mut first, SETTLED_MS).await;
+        inherited_loads(&mut first, SETTLED_MS).await;
         expect_true!(first.order(6_000));
         first.step_down(6_050).await;
         let mut next = Member::start(&store, "g2", 0);
         next.act(6_100).await;
         next.store.clock_ms.store(6_300, Ordering::SeqCst);
-        next.duty.tick(at(6_300), ALONE);
+        next.manager.tick(at(6_300), ALONE);
         tokio::task::yield_now().await;
         let Ok(Input::LeaseRead(read)) = next.inputs.try_recv() else {
             panic!("the row was to be read")
         };
-        next.duty.read_done(read, at(6_300));
-        next.hear(at(20_000)).await;
-        expect_true!(next.duty.held_epoch(at(20_000)).is_none());
-        let others = inherited(&mut next, 20_050).await;
-        expect_that!(others.is_some(), eq(true));
+        next.manager.on_read(read, at(6_300));
+        next.process_inputs(at(20_000)).await;
+        expect_true!(next.manager.held_epoch(at(20_000)).is_none());
+        let inherited = inherited_loads(&mut next, 20_050).await;
+        expect_that!(inherited.is_some(), eq(true));
     };
     LocalSet::new().run_until(steps).await;
 }
@@ -367,17 +374,21 @@
 async fn a_holder_goes_on_though_its_row_is_gone() {
     let steps = async {
         let store = RowStore::new();
-        let nothing = store.copy();
+        let empty_copy = store.copy();
         let mut holder = Member::start(&store, "g1", 0);
         holder.act_from(SETTLED_MS, 5_000).await;
-        let epoch = holder.duty.held_epoch(at(5_000));
+        let epoch = holder.manager.held_epoch(at(5_000));
         expect_true!(epoch.is_some());
-        store.come_back_from(&nothing);
+        store.restore_from(&empty_copy);
         let mut other = Member::start(&store, "g2", 0);
         for now in (5_000..20_000).step_by(50) {
             holder.act(now).await;
             other.act(now).await;
-            expect_that!(holder.duty.held_epoch(at(now)), eq(epoch), "{now}");
+            expect_that!(
+                holder.manager.held_epoch(at(now)),
+                eq(epoch),
+                "{now}"
+            );
             expect_false!(other.order(now), "{now}");
         }
     };
@@ -398,28 +409,28 @@
         let mut second = Member::start(&store, "g2", 0);
         second.act_from(5_000, 14_000).await;
         expect_true!(second.order(14_000));
-        let lost = second.duty.held_epoch(at(14_000)).unwrap();
-        store.come_back_from(&copy);
+        let lost_epoch = second.manager.held_epoch(at(14_000)).unwrap();
+        store.restore_from(&copy);
         drop(second);
         let mut earliest = None;
         for now in (14_000..30_000).step_by(50) {
             first.act(now).await;
             if earliest.is_none() && first.order(now) {
                 earliest = Some(now);
-                let epoch = first.duty.held_epoch(at(now)).unwrap();
-                expect_that!(epoch, gt(lost));
+                let epoch = first.manager.held_epoch(at(now)).unwrap();
+                expect_that!(epoch, gt(lost_epoch));
             }
         }
         // The second could have given orders until its term was over.
-        let quiet_from = 14_000 + 3_000;
-        expect_that!(earliest, some(ge(quiet_from + QUIET_MS)));
+        let term_end = 14_000 + 3_000;
+        expect_that!(earliest, some(ge(term_end + QUIET_MS)));
         expect_that!(earliest, some(le(24_000)));
         // The next one has a later epoch again.
-        let held = first.duty.held_epoch(at(29_950)).unwrap();
+        let held = first.manager.held_epoch(at(29_950)).unwrap();
         drop(first);
         let mut third = Member::start(&store, "g3", 30_000);
         third.act_from(30_000, 40_000).await;
-        expect_that!(third.duty.held_epoch(at(40_000)), some(gt(held)));
+        expect_that!(third.manager.held_epoch(at(40_000)), some(gt(held)));
     };
     LocalSet::new().run_until(steps).await;
 }
@@ -433,7 +444,7 @@
         let store = RowStore::new();
         let mut earlier = Member::start(&store, "g1", 0);
         earlier.act_from(SETTLED_MS, 5_000).await;
-        store.come_back_from(&store.copy());
+        store.restore_from(&store.copy());
         let mut later = Member::start(&store, "g2", 0);
         for now in (5_000..20_000).step_by(50) {
             if now % 700 == 0 {
@@ -441,10 +452,10 @@
                 lease.row.as_mut().unwrap().renewals += 1;
             }
             later.act(now).await;
-            expect_that!(later.duty.held_epoch(at(now)), none(), "{now}");
+            expect_that!(later.manager.held_epoch(at(now)), none(), "{now}");
         }
         later.act_from(20_000, 25_000).await;
-        expect_true!(later.duty.held_epoch(at(25_000)).is_some());
+        expect_true!(later.manager.held_epoch(at(25_000)).is_some());
     };
     LocalSet::new().run_until(steps).await;
 }
--- a/crates/valehold-gateway/src/control/loads.rs
+++ b/crates/valehold-gateway/src/control/loads.rs
@@ -25,27 +25,27 @@
 /// tells all, in ms. A gateway sends to engines on what it believes to run
 /// there: on the users' bench what ran differed by 5 and more in a quarter of
 /// sends while the word of others was 0.75 s old on average.
-const LOADS_EVERY_MS: u64 = 150;
+const LOAD_REPORT_INTERVAL_MS: u64 = 150;
 
 /// How many upstreams' sums are told at once: those that changed the most.
 /// The users bound all of control by 8,000 bytes a second on the way to their
 /// largest size; each of these has 9 bytes or fewer.
-const MOST_SUMS_AT_ONCE: usize = 96;
+const MAX_SUMS_PER_UPDATE: usize = 96;
 
 impl Control {
     /// Tells what is under way between heartbeats, where hubs sum it up.
-    pub(super) fn tell_loads(&mut self, now: Millis) {
-        self.loads_due = now + LOADS_EVERY_MS;
+    pub(super) fn send_loads(&mut self, now: Millis) {
+        self.loads_due = now + LOAD_REPORT_INTERVAL_MS;
         if !self.roster.has_hubs() {
             return;
         }
         if self.roster.is_primary_hub() {
             // Where the link is full, sums are told as often as it bears.
             if self.outbox.borrow().is_empty() {
-                self.tell_sums(now);
+                self.send_sums(now);
             }
         } else {
-            self.report(now);
+            self.send_load_report(now);
         }
         if self.roster.is_hub() {
             self.publish_loads(now);
@@ -54,48 +54,48 @@
 
     /// Tells this gateway's group the sums and rulings, and the hubs of other
     /// groups what its own has under way and let through.
-    fn tell_sums(&mut self, now: Millis) {
+    fn send_sums(&mut self, now: Millis) {
         let rulings = self.rule_limits(now);
-        let own = self.loads_to_tell();
+        let own = self.loads_to_report();
         self.sequence += 1;
         let number = WordNumber { start: self.start, sequence: self.sequence };
         if !self.roster.remote_hubs().is_empty() {
             let sums = self.roster.sum_group_loads(&own, now);
             let usage = self.group_usage(now);
-            let told = &mut self.told_group_sums;
+            let advertised = &mut self.told_group_sums;
             let message = Message::GroupLoads(GroupLoads {
                 instance: self.shared.settings.instance.clone(),
                 number,
                 usage,
                 data_centre: self.shared.settings.data_centre.clone(),
-                news: told.next_update(&sums, MOST_SUMS_AT_ONCE),
+                news: advertised.next_update(&sums, MAX_SUMS_PER_UPDATE),
             });
-            let elsewhere = self.roster.remote_hubs().iter().copied();
-            self.send(elsewhere, &message);
+            let hubs = self.roster.remote_hubs().iter().copied();
+            self.send(hubs, &message);
         }
         let sums = self.roster.sum_loads(&own, now);
-        let loads = match self.tells_loads() {
-            true => self.told_sums.next_update(&sums, MOST_SUMS_AT_ONCE),
+        let loads = match self.reports_between_heartbeats() {
+            true => self.told_sums.next_update(&sums, MAX_SUMS_PER_UPDATE),
             false => LoadNews::default(),
         };
         let group = self.roster.summary_targets();
         let paces = self.pace_news(now);
-        let news = HubNews { number, loads, rulings, paces };
-        self.send(group, &Message::HubNews(news));
+        let update = HubNews { number, loads, rulings, paces };
+        self.send(group, &Message::HubNews(update));
     }
 
     /// Tells hubs what this gateway has under way and let through, if that
     /// changed.
-    fn report(&mut self, now: Millis) {
-        let loads = self.loads_to_tell();
+    fn send_load_report(&mut self, now: Millis) {
+        let loads = self.loads_to_report();
         let usage = self.usage_news(now);
         let paces = self.shared.take_seen_paces();
-        let told = loads_by_upstream(&loads);
-        let is_same = told == self.told_loads;
-        if is_same && usage.is_empty() && paces.is_empty() {
+        let reported = loads_by_upstream(&loads);
+        let is_unchanged = reported == self.told_loads;
+        if is_unchanged && usage.is_empty() && paces.is_empty() {
             return;
         }
-        self.told_loads = told;
+        self.told_loads = reported;
         self.sequence += 1;
         let report = LoadReport {
             instance: self.shared.settings.instance.clone(),
@@ -108,14 +108,14 @@
         self.send(self.roster.other_local_hubs(), &Message::Loads(report));
     }
 
-    fn tells_loads(&self) -> bool {
+    fn reports_between_heartbeats(&self) -> bool {
         self.shared.settings.mechanisms.loads_between_heartbeats
     }
 
     /// Returns what this gateway has under way, or what it said with its last
     /// heartbeat that it has, if loads are not told in between.
-    fn loads_to_tell(&self) -> Vec<UpstreamLoad> {
-        match self.tells_loads() {
+    fn loads_to_report(&self) -> Vec<UpstreamLoad> {
+        match self.reports_between_heartbeats() {
             true => self.own_loads(),
             false => load_list(&self.told_loads),
         }
@@ -125,11 +125,10 @@
     pub(super) fn own_loads(&self) -> Vec<UpstreamLoad> {
         let loads = self.shared.loads();
         let busy = loads.iter().filter(|(_, load)| **load != Load::default());
-        let as_told = |(start, load): (&UpstreamStart, &Load)| UpstreamLoad {
-            upstream: start.tag(),
-            load: *load,
+        let to_report = |(start, load): (&UpstreamStart, &Load)| {
+            UpstreamLoad { upstream: start.tag(), load: *load }
         };
-        busy.map(as_told).collect()
+        busy.map(to_report).collect()
     }
 
     /// Publishes what the others have under way.
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -35,8 +35,8 @@
 mod loads;
 mod needs;
 mod paces;
+mod placement;
 mod placer;
-mod placing;
 mod publishing;
 mod store_sight;
 mod telling;
@@ -70,11 +70,11 @@
     demand::{Demand, Sums},
     feeds::WatchOrders,
     input::Input,
-    lease::{Around, LeaseDuty},
+    lease::{LeaseManager, PeerLeaseState},
     limits::LimitDuty,
     paces::PaceDuty,
+    placement::PlacementSchedule,
     placer::{Authority, Placer},
-    placing::Placing,
     publishing::Published,
 };
 use crate::{
@@ -141,10 +141,10 @@
     outbox: RefCell<Outbox>,
     /// Messages of which fragments have not arrived.
     fragments: Fragments,
-    placing: Placing,
+    placing: PlacementSchedule,
     inputs: mpsc::UnboundedSender<Input>,
     roster: Roster,
-    lease: Rc<RefCell<LeaseDuty>>,
+    lease: Rc<RefCell<LeaseManager>>,
     limits: LimitDuty,
     paces: PaceDuty,
     grantor: PermitGrantor,
@@ -216,7 +216,7 @@
         ));
         tokio::task::spawn_local(receive(socket.clone(), inputs.clone()));
         let settings = &shared.settings;
-        let lease = Rc::new(RefCell::new(LeaseDuty::new(
+        let lease = Rc::new(RefCell::new(LeaseManager::new(
             holder_name(settings),
             settings.lease.quiet_ms,
             store.clone(),
@@ -261,7 +261,7 @@
             socket,
             outbox: RefCell::new(Outbox::new(settings.peers.link_mbps)),
             fragments: Fragments::default(),
-            placing: Placing::default(),
+            placing: PlacementSchedule::default(),
             inputs,
             lease,
             limits: LimitDuty::new(settings.limits, is_alone, now),
@@ -323,7 +323,7 @@
                         let Ok(input) = taken.try_recv() else { break };
                         self.take(input);
                     }
-                    self.place_if_wanted();
+                    self.place_if_requested();
                     self.publish_if_due();
                 }
                 Some(wish) = wishes.variants.recv() => self.wish(wish),
@@ -382,7 +382,7 @@
             }
             self.holder_may_have_changed();
         } else if now >= self.loads_due {
-            self.tell_loads(now);
+            self.send_loads(now);
         }
         self.publish_if_due();
     }
@@ -415,15 +415,15 @@
         if self.life != Life::Serving || !knows_others {
             return;
         }
-        let around = Around {
-            holder_heard: self.roster.lease_holder(now).is_some(),
-            store_heard: self.roster.others_reach_store(),
-            place: self.roster.duty_position(Duty::Place).min(LAST_PLACE),
+        let peers = PeerLeaseState {
+            has_holder: self.roster.lease_holder(now).is_some(),
+            others_reach_store: self.roster.others_reach_store(),
+            position: self.roster.duty_position(Duty::Place).min(LAST_PLACE),
         };
         let lost_loads = self.placer.lost_loads(now);
         let mut lease = self.lease.borrow_mut();
-        lease.note_lost_loads(lost_loads);
-        lease.tick(now, around);
+        lease.set_lost_loads(lost_loads);
+        lease.tick(now, peers);
     }
 
     fn take(&mut self, input: Input) {
@@ -432,7 +432,7 @@
             Input::StoreFailed { error, lasted } => {
                 self.store_failed(&error, lasted, now);
             }
-            Input::CatalogHeard { version, catalog, evacuations } => {
+            Input::CatalogUpdated { version, catalog, evacuations } => {
                 let was_lost = self.store == StoreSight::Fails;
                 self.store_heard(now);
                 self.note_era(version);
@@ -454,37 +454,38 @@
                 self.take_peer_state(peer, state, now);
             }
             Input::LeaseRead(read) => {
-                self.lease.borrow_mut().read_done(read, now);
+                self.lease.borrow_mut().on_read(read, now);
             }
             Input::LeaseWritten(write, written) => {
                 let took = write.takes;
-                self.lease.borrow_mut().write_done(write, written, now);
+                self.lease.borrow_mut().on_write(write, written, now);
                 let epoch = self.lease.borrow().held_epoch(now);
                 if let (true, Some(epoch)) = (took, epoch) {
-                    self.placer.listed(self.upstreams.listing());
-                    let others = self.lease.borrow_mut().take_inheritance();
+                    self.placer.replace_listing(self.upstreams.listing());
+                    let others =
+                        self.lease.borrow_mut().take_inherited_loads();
                     self.placer.begin_epoch(epoch, others);
                     // Peers need not contend any more.
                     self.send_heartbeats(now);
                 }
                 self.shared.metrics.holds_lease(epoch.is_some());
             }
-            Input::Reported { start, report } => {
-                self.placer.reported(&start, report, now);
+            Input::EngineReported { start, report } => {
+                self.placer.on_report(&start, report, now);
                 self.spread_news_if_few(now);
             }
-            Input::Ordered(order, end) => {
+            Input::OrderFinished(order, end) => {
                 self.shared.metrics.ordered(end.label());
-                if end.says_leaving() {
+                if end.reports_leaving() {
                     let start = order.engine.clone();
                     let source = WordSource::Answer;
                     self.hear_leaving(&[start], source, now);
                 }
-                self.placer.ordered(order, &end, now);
+                self.placer.on_order_finished(order, &end, now);
                 self.spread_news_if_few(now);
-                self.place_soon();
+                self.request_placement();
             }
-            Input::Recorded(done) => self.record_done(done, now),
+            Input::RecordCallFinished(done) => self.record_done(done, now),
             Input::Datagram(from, bytes) => self.datagram(from, &bytes, now),
         }
     }
@@ -492,9 +493,9 @@
     fn wish(&mut self, asked: Asked) {
         let now = self.now();
         if self.lease.borrow().held_epoch(now).is_some() {
-            self.placer.wished(asked, now);
-            self.place_soon();
-            self.place_if_wanted();
+            self.placer.on_load_request(asked, now);
+            self.request_placement();
+            self.place_if_requested();
         } else if let Some(holder) = self.roster.lease_holder(now) {
             self.send([holder], &Message::Wish(asked));
         }
--- a/crates/valehold-gateway/src/control/needs.rs
+++ b/crates/valehold-gateway/src/control/needs.rs
@@ -20,9 +20,9 @@
 
 /// Returns what each model needs, everywhere and inside the bounds in which
 /// it is used.
-pub(super) fn needs(demand: &DemandSum, used: &BoundUse) -> Needs {
+pub(super) fn needs(demand: &DemandSum, usage: &BoundUse) -> Needs {
     let everywhere = needs_within(demand, &RegionBound::Anywhere);
-    let bounds = used.bounds().map(|(bound, models)| {
+    let bounds = usage.bounds().map(|(bound, models)| {
         let all = needs_within(demand, bound);
         let need = |model: &ModelName| all.get(model).copied();
         let needs = models
@@ -35,25 +35,27 @@
 /// Returns what the demand asks of each model that can be served inside a
 /// bound only.
 fn needs_within(demand: &DemandSum, bound: &RegionBound) -> ModelNeeds {
-    let inside = demand.iter().filter(|(of, _)| of.is_within(bound));
+    let matching = demand
+        .iter()
+        .filter(|(request_bound, _)| request_bound.is_within(bound));
     let mut needs = ModelNeeds::new();
-    for (variant, one) in inside.flat_map(|(_, variants)| variants) {
+    for (variant, demand) in matching.flat_map(|(_, variants)| variants) {
         let need = needs.entry(variant.model.clone()).or_default();
-        need.busy += f64::from(one.busy);
+        need.busy += f64::from(demand.busy);
         if variant.adapter.is_some() {
-            need.adapters += expected_in_use(one);
+            need.adapters += probability_in_use(demand);
         }
     }
     needs
 }
 
 /// Adds to each model's need for how long it has been lost.
-pub(super) fn note_lost(
+pub(super) fn add_missing_durations(
     needs: &mut ModelNeeds,
-    lost: &BTreeMap<ModelName, Millis>,
+    missing: &BTreeMap<ModelName, Millis>,
     now: Millis,
 ) {
-    for (model, since) in lost {
+    for (model, since) in missing {
         let need = needs.entry(model.clone()).or_default();
         need.lost_ms = now.since(*since);
     }
@@ -61,7 +63,7 @@
 
 /// Adds to each model's need how busy it was lately, given how many of the
 /// engines there hold it.
-pub(super) fn note_peaks(
+pub(super) fn add_peak_demand(
     peaks: &mut Peaks,
     needs: &mut ModelNeeds,
     replicas: BTreeMap<ModelName, usize>,
@@ -76,7 +78,7 @@
 }
 
 /// Returns the chance that an adapter is in use at a moment.
-fn expected_in_use(demand: &VariantDemand) -> f64 {
+fn probability_in_use(demand: &VariantDemand) -> f64 {
     let requests = f64::from(demand.requests);
     match demand.running {
         0 => 1.0 - (-requests * ADAPTER_USE_S).exp(),
--- a/crates/valehold-gateway/src/control/placing.rs
+++ b/crates/valehold-gateway/src/control/placement.rs
@@ -8,43 +8,43 @@
 
 /// For how many times as long as placing took other work goes on before the
 /// next time, unless that is due by the clock.
-const PLACING_RESTS: u32 = 4;
+const PAUSE_FACTOR: u32 = 4;
 
 /// When models and adapters are placed next.
 #[derive(Debug, Default)]
-pub(super) struct Placing {
-    is_wanted: bool,
+pub(super) struct PlacementSchedule {
+    is_requested: bool,
     /// From when on it is done before it is due by itself.
-    next: Option<Instant>,
+    not_before: Option<Instant>,
     /// From when on models are planned again.
-    next_plan: Option<Instant>,
+    plan_not_before: Option<Instant>,
 }
 
-impl Placing {
+impl PlacementSchedule {
     /// Notes that it has just been done.
-    fn done(&mut self, begun: Instant) {
-        self.is_wanted = false;
-        self.next = Some(after_rest(begun));
+    fn record_placement(&mut self, started: Instant) {
+        self.is_requested = false;
+        self.not_before = Some(next_start(started));
     }
 
     /// Notes that models have just been planned.
-    fn planned(&mut self, begun: Instant) {
-        self.next_plan = Some(after_rest(begun));
+    fn record_plan(&mut self, started: Instant) {
+        self.plan_not_before = Some(next_start(started));
     }
 
     fn is_due(&self) -> bool {
-        is_past(self.next)
+        is_past(self.not_before)
     }
 
     fn is_plan_due(&self) -> bool {
-        is_past(self.next_plan)
+        is_past(self.plan_not_before)
     }
 }
 
 /// Returns when work that began then is done again: after several times as long
 /// as it took, so that it leaves a machine of any strength to other work.
-fn after_rest(begun: Instant) -> Instant {
-    Instant::now() + begun.elapsed() * PLACING_RESTS
+fn next_start(started: Instant) -> Instant {
+    Instant::now() + started.elapsed() * PAUSE_FACTOR
 }
 
 fn is_past(at: Option<Instant>) -> bool {
@@ -54,21 +54,21 @@
 impl Control {
     /// Places models and adapters soon: at once, but for as long as others have
     /// to get their turn where that takes long.
-    pub(super) fn place_soon(&mut self) {
-        self.placing.is_wanted = true;
+    pub(super) fn request_placement(&mut self) {
+        self.placing.is_requested = true;
     }
 
-    pub(super) fn place_if_wanted(&mut self) {
-        if self.placing.is_wanted && self.placing.is_due() {
+    pub(super) fn place_if_requested(&mut self) {
+        if self.placing.is_requested && self.placing.is_due() {
             self.place(self.now());
         }
     }
 
     /// Places models and adapters, if this gateway may give orders.
     pub(super) fn place(&mut self, now: Millis) {
-        let begun = Instant::now();
+        let started = Instant::now();
         self.place_now(now);
-        self.placing.done(begun);
+        self.placing.record_placement(started);
     }
 
     fn place_now(&mut self, now: Millis) {
@@ -77,11 +77,15 @@
             return;
         };
         if self.sums.is_old(now) {
-            self.sums = self.sum_up(now);
+            self.sums = self.fleet_sums(now);
         }
         {
             let limits = self.shared.upstream_limits();
-            self.placer.note_rests(&self.shared.rests(), &limits, now);
+            self.placer.update_restrictions(
+                &self.shared.rests(),
+                &limits,
+                now,
+            );
         }
         let Sums { demand, loads, .. } = &self.sums;
         for (name, service) in &catalog.services {
@@ -91,17 +95,17 @@
         if !self.placing.is_plan_due() {
             return;
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let count = self.placer.plan_if_due(now, &catalog, demand, loads);
         if let Some(count) = count {
-            self.placing.planned(begun);
+            self.placing.record_plan(started);
             let LoadCount { counted, allowed } = count;
             self.shared.metrics.weight_loads(counted, allowed);
         }
     }
 
     /// Adds up what all gateways are asked for and have under way.
-    fn sum_up(&self, now: Millis) -> Sums {
+    fn fleet_sums(&self, now: Millis) -> Sums {
         let own = self.demand.list(&self.shared.running());
         let demand = self.roster.sum_demand(&own, now);
         let mut loads = self.roster.loads_of_others(&self.told_loads, now);
--- a/crates/valehold-gateway/src/control/placer/adapters.rs
+++ b/crates/valehold-gateway/src/control/placer/adapters.rs
@@ -19,39 +19,40 @@
 use valehold_ports::port::fleet::OrderWish;
 
 use super::Placer;
-use crate::{control::entry::Entry, peers::roster::sums::DemandSum};
+use crate::{control::entry::EngineEntry, peers::roster::sums::DemandSum};
 
 /// How many orders about adapters are under way at once while places are
 /// filled.
-const MOST_BROUGHT_AT_ONCE: usize = 3;
+const MAX_PENDING_ADAPTER_LOADS: usize = 3;
 
 /// How long a wish stays without being repeated, in ms.
-const KEEP_WISH_MS: u64 = 1_000;
+const REQUEST_LIFETIME_MS: u64 = 1_000;
 
 /// How often a way is looked for to do what a request wishes, in ms: until an
 /// order has ended or demand has changed there is no other.
-const TRY_WISH_EVERY_MS: u64 = 50;
+const REQUEST_RETRY_INTERVAL_MS: u64 = 50;
 
 /// How often adapters are looked for that no engine holds, in ms. What a
 /// request asks for does not wait for that.
-const LOOK_EVERY_MS: u64 = 1_000;
+const PRELOAD_SCAN_INTERVAL_MS: u64 = 1_000;
 
 /// A request's wish for a variant.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Wish {
+pub(super) struct LoadRequest {
     /// When it was made last.
-    pub(super) repeated: Millis,
+    pub(super) last_made: Millis,
     /// When a way was looked for last.
-    tried: Option<Millis>,
+    last_tried: Option<Millis>,
 }
 
-impl Wish {
+impl LoadRequest {
     /// Tells whether a way is to be looked for, and notes that one is.
     fn is_due(&mut self, now: Millis) -> bool {
-        let is_due =
-            self.tried.is_none_or(|at| now.since(at) >= TRY_WISH_EVERY_MS);
+        let is_due = self
+            .last_tried
+            .is_none_or(|at| now.since(at) >= REQUEST_RETRY_INTERVAL_MS);
         if is_due {
-            self.tried = Some(now);
+            self.last_tried = Some(now);
         }
         is_due
     }
@@ -59,65 +60,68 @@
 
 /// How far a look for adapters that no engine holds has come.
 #[derive(Debug, Default)]
-pub(super) struct Bringing {
+pub(super) struct PreloadScan {
     /// The models that are still to be looked at, those last that are asked
     /// for the most.
-    left: Vec<ModelName>,
+    remaining: Vec<ModelName>,
     /// When it began.
-    begun: Option<Millis>,
+    started_at: Option<Millis>,
 }
 
-impl Bringing {
+impl PreloadScan {
     /// Begins anew, if all models were looked at and it is time again.
-    fn begin_if_due(
+    fn start_if_due(
         &mut self,
         spec: &EngineSpec,
         demand: &DemandSum,
         now: Millis,
     ) {
-        let is_young =
-            self.begun.is_some_and(|at| now.since(at) < LOOK_EVERY_MS);
-        if is_young || !self.left.is_empty() {
+        let is_recent = self
+            .started_at
+            .is_some_and(|at| now.since(at) < PRELOAD_SCAN_INTERVAL_MS);
+        if is_recent || !self.remaining.is_empty() {
             return;
         }
-        self.begun = Some(now);
-        let mut asked: BTreeMap<&ModelName, f64> = BTreeMap::new();
+        self.started_at = Some(now);
+        let mut request_rates: BTreeMap<&ModelName, f64> = BTreeMap::new();
         for (variant, one) in demand.values().flatten() {
-            let requests = asked.entry(&variant.model).or_default();
+            let requests = request_rates.entry(&variant.model).or_default();
             *requests += f64::from(one.requests);
         }
-        let requests =
-            |model: &ModelName| asked.get(model).copied().unwrap_or(0.0);
+        let requests = |model: &ModelName| {
+            request_rates.get(model).copied().unwrap_or(0.0)
+        };
         let models = spec.models.iter().filter(|m| !m.adapters.is_empty());
-        self.left = models.map(|model| model.name.clone()).collect();
-        self.left.sort_by(|a, b| requests(a).total_cmp(&requests(b)));
+        self.remaining = models.map(|model| model.name.clone()).collect();
+        self.remaining.sort_by(|a, b| requests(a).total_cmp(&requests(b)));
     }
 }
 
 impl Placer {
-    pub(super) fn place_adapters(
+    pub(super) fn place_requested_adapters(
         &mut self,
         now: Millis,
         service: &ServiceName,
         spec: &EngineSpec,
         demand: &DemandSum,
     ) {
-        self.wishes.retain(|_, one| now.since(one.repeated) < KEEP_WISH_MS);
-        let due = self.wishes.iter_mut().filter(|(asked, _)| {
+        self.load_requests
+            .retain(|_, one| now.since(one.last_made) < REQUEST_LIFETIME_MS);
+        let due = self.load_requests.iter_mut().filter(|(asked, _)| {
             asked.variant.adapter.is_some()
                 && spec.model(&asked.variant.model).is_some()
-                && !self.ordered_now.contains(&asked.variant)
+                && !self.pending_adapter_orders.contains(&asked.variant)
         });
-        let due = due.filter_map(|(asked, wish)| {
-            wish.is_due(now).then(|| asked.clone())
+        let due = due.filter_map(|(asked, request)| {
+            request.is_due(now).then(|| asked.clone())
         });
         let due: Vec<Asked> = due.collect();
         for asked in due {
-            self.place_adapter(now, service, spec, demand, &asked);
+            self.place_requested_adapter(now, service, spec, demand, &asked);
         }
     }
 
-    fn place_adapter(
+    fn place_requested_adapter(
         &mut self,
         now: Millis,
         service: &ServiceName,
@@ -126,20 +130,20 @@
         asked: &Asked,
     ) {
         let Asked { bound, variant } = asked;
-        if self.is_there(service, bound, variant) {
-            self.wishes.remove(asked);
+        if self.is_served(service, bound, variant) {
+            self.load_requests.remove(asked);
             return;
         }
         let hosts = self.hosts(now, service, bound, &variant.model);
-        let use_of = |variant: &Variant| use_of(demand, variant);
-        match place_adapter(variant, &hosts, spec, use_of) {
+        let usage_of = |variant: &Variant| usage_of(demand, variant);
+        match place_adapter(variant, &hosts, spec, usage_of) {
             Some(AdapterStep::Load(engine)) => {
-                self.ordered_now.insert(variant.clone());
-                let wish = OrderWish::Load(variant.clone());
-                self.order(&engine, wish, now);
+                self.pending_adapter_orders.insert(variant.clone());
+                let action = OrderWish::Load(variant.clone());
+                self.send_order(&engine, action, now);
             }
             Some(AdapterStep::MakeRoom { engine, victim }) => {
-                self.order(&engine, OrderWish::Unload(victim), now);
+                self.send_order(&engine, OrderWish::Unload(victim), now);
             }
             None => {}
         }
@@ -147,35 +151,35 @@
 
     /// Fills free places with adapters that no engine holds, so that they
     /// are there when they are asked for.
-    pub(super) fn bring_adapters(
+    pub(super) fn preload_adapters(
         &mut self,
         now: Millis,
         service: &ServiceName,
         spec: &EngineSpec,
         demand: &DemandSum,
     ) {
-        if self.ordered_now.len() >= MOST_BROUGHT_AT_ONCE {
+        if self.pending_adapter_orders.len() >= MAX_PENDING_ADAPTER_LOADS {
             return;
         }
-        let mut bringing = self.bringing.remove(service).unwrap_or_default();
-        bringing.begin_if_due(spec, demand, now);
-        while self.ordered_now.len() < MOST_BROUGHT_AT_ONCE
-            && let Some(model) = bringing.left.last()
+        let mut scan = self.preload_scans.remove(service).unwrap_or_default();
+        scan.start_if_due(spec, demand, now);
+        while self.pending_adapter_orders.len() < MAX_PENDING_ADAPTER_LOADS
+            && let Some(model) = scan.remaining.last()
         {
             let model = spec.model(model);
-            let brought = model.is_some_and(|model| {
-                self.bring_one_of(now, service, spec, model)
+            let was_ordered = model.is_some_and(|model| {
+                self.preload_one_adapter(now, service, spec, model)
             });
-            if !brought {
-                bringing.left.pop();
+            if !was_ordered {
+                scan.remaining.pop();
             }
         }
-        self.bringing.insert(service.clone(), bringing);
+        self.preload_scans.insert(service.clone(), scan);
     }
 
     /// Brings one of a model's adapters that no engine holds; tells whether
     /// there was one, and an engine with room for it.
-    fn bring_one_of(
+    fn preload_one_adapter(
         &mut self,
         now: Millis,
         service: &ServiceName,
@@ -188,8 +192,8 @@
             adapter: Some(adapter.clone()),
         });
         let mut missing = variants.filter(|variant| {
-            !self.ordered_now.contains(variant)
-                && !self.is_there(service, &anywhere, variant)
+            !self.pending_adapter_orders.contains(variant)
+                && !self.is_served(service, &anywhere, variant)
         });
         let Some(variant) = missing.next() else { return false };
         let hosts = self.hosts(now, service, &anywhere, &model.name);
@@ -197,21 +201,21 @@
             return false;
         };
         let engine = engine.clone();
-        self.ordered_now.insert(variant.clone());
-        self.order(&engine, OrderWish::Load(variant), now);
+        self.pending_adapter_orders.insert(variant.clone());
+        self.send_order(&engine, OrderWish::Load(variant), now);
         true
     }
 
     /// Tells whether a sound engine inside a bound takes requests for a
     /// variant.
-    fn is_there(
+    fn is_served(
         &self,
         service: &ServiceName,
         bound: &RegionBound,
         variant: &Variant,
     ) -> bool {
         let mut holders = self.holders_of(service, bound, &variant.model);
-        holders.any(|(_, entry)| entry.is_sound() && entry.serves(variant))
+        holders.any(|(_, entry)| entry.is_available() && entry.serves(variant))
     }
 
     /// Returns the engines inside a bound that hold a model and take an order
@@ -226,11 +230,13 @@
     ) -> Vec<AdapterHost<'_>> {
         let holders = self.holders_of(service, bound, model);
         holders
-            .filter(|(_, entry)| entry.may_order(now) && !entry.busy)
+            .filter(|(_, entry)| {
+                entry.may_order(now) && !entry.executing_model_order
+            })
             .map(|(id, entry)| AdapterHost {
                 engine: id,
                 holding: &entry.holding,
-                young: &entry.arrivals,
+                young: &entry.recent_adapters,
             })
             .collect()
     }
@@ -241,10 +247,10 @@
         service: &ServiceName,
         bound: &RegionBound,
         model: &ModelName,
-    ) -> impl Iterator<Item = (&UpstreamId, &Entry)> {
-        let found = self.holders.of(model);
-        let found = found.filter_map(|id| self.entries.get_key_value(id));
-        found.filter(move |(_, entry)| {
+    ) -> impl Iterator<Item = (&UpstreamId, &EngineEntry)> {
+        let engines = self.holders.engines_with(model);
+        let engines = engines.filter_map(|id| self.entries.get_key_value(id));
+        engines.filter(move |(_, entry)| {
             entry.service == *service
                 && entry.holding.models.contains_key(model)
                 && self.is_inside(bound, entry)
@@ -252,11 +258,11 @@
     }
 }
 
-fn use_of(demand: &DemandSum, variant: &Variant) -> AdapterUse {
-    let mut used = AdapterUse::default();
+fn usage_of(demand: &DemandSum, variant: &Variant) -> AdapterUse {
+    let mut usage = AdapterUse::default();
     for one in demand.values().filter_map(|variants| variants.get(variant)) {
-        used.requests += f64::from(one.requests);
-        used.runs |= one.running > 0;
+        usage.requests += f64::from(one.requests);
+        usage.runs |= one.running > 0;
     }
-    used
+    usage
 }
--- a/crates/valehold-gateway/src/control/placer/holders.rs
+++ b/crates/valehold-gateway/src/control/placer/holders.rs
@@ -7,7 +7,7 @@
     id::{ModelName, UpstreamId},
 };
 
-use crate::control::entry::Entry;
+use crate::control::entry::EngineEntry;
 
 /// How often engines are forgotten that gave a model up, in ms.
 const REBUILD_EVERY_MS: u64 = 5_000;
@@ -15,14 +15,14 @@
 /// The engines that hold each model, and some that did lately: whoever looks
 /// asks each engine's entry.
 #[derive(Debug, Default)]
-pub(super) struct Holders {
+pub(super) struct ModelHolders {
     engines: BTreeMap<ModelName, BTreeSet<UpstreamId>>,
     rebuilt: Millis,
 }
 
-impl Holders {
+impl ModelHolders {
     /// Notes what an engine holds.
-    pub(super) fn note(&mut self, id: &UpstreamId, entry: &Entry) {
+    pub(super) fn record(&mut self, id: &UpstreamId, entry: &EngineEntry) {
         for model in entry.holding.models.keys() {
             let engines = self.engines.entry(model.clone()).or_default();
             if !engines.contains(id) {
@@ -32,7 +32,7 @@
     }
 
     /// Returns the engines that hold a model.
-    pub(super) fn of(
+    pub(super) fn engines_with(
         &self,
         model: &ModelName,
     ) -> impl Iterator<Item = &UpstreamId> + use<'_> {
@@ -42,7 +42,7 @@
     /// Forgets, now and then, engines that do not hold a model any more.
     pub(super) fn rebuild_if_due(
         &mut self,
-        entries: &BTreeMap<UpstreamId, Entry>,
+        entries: &BTreeMap<UpstreamId, EngineEntry>,
         now: Millis,
     ) {
         if now.since(self.rebuilt) < REBUILD_EVERY_MS {
@@ -51,7 +51,7 @@
         self.rebuilt = now;
         self.engines.clear();
         for (id, entry) in entries {
-            self.note(id, entry);
+            self.record(id, entry);
         }
     }
 }
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -46,11 +46,11 @@
 };
 
 use self::{
-    adapters::{Bringing, Wish},
-    holders::Holders,
+    adapters::{LoadRequest, PreloadScan},
+    holders::ModelHolders,
 };
 use super::{
-    entry::{ASK_EVERY_MS, Entry},
+    entry::{EngineEntry, POLL_INTERVAL_MS},
     input::Input,
 };
 use crate::{
@@ -64,14 +64,14 @@
 /// How many engines are asked at once at the most. Each question holds a
 /// connection, and a machine has a bounded number of those, however many
 /// engines there are.
-const MOST_QUESTIONS: usize = 256;
+const MAX_POLLS_IN_FLIGHT: usize = 256;
 
 /// How long an engine is left alone after an order failed, in ms.
-const AFTER_FAILURE_MS: u64 = 200;
+const FAILURE_BACKOFF_MS: u64 = 200;
 
 /// After how many reports in a row from before an order its effect is taken
 /// for what they say. Reports lag by less than so many questions take.
-const MOST_OLD_REPORTS: u32 = 6;
+const MAX_STALE_REPORTS: u32 = 6;
 
 /// Loads from the weight store, for metrics.
 #[derive(Debug, Clone, Copy)]
@@ -93,35 +93,35 @@
 }
 
 /// For each bound, the models that are missed inside it, and since when.
-type LostModels = BTreeMap<RegionBound, BTreeMap<ModelName, Millis>>;
+type MissingModels = BTreeMap<RegionBound, BTreeMap<ModelName, Millis>>;
 
 /// Gives orders to engines.
 pub(super) struct Placer {
     engines: Arc<dyn FleetEngines>,
     inputs: mpsc::UnboundedSender<Input>,
     authority: Authority,
-    entries: BTreeMap<UpstreamId, Entry>,
-    holders: Holders,
+    entries: BTreeMap<UpstreamId, EngineEntry>,
+    holders: ModelHolders,
     /// How many engines are being asked.
-    questions: usize,
+    polls_in_flight: usize,
     /// Data centres that are to be empty.
-    emptied: BTreeSet<DataCentreId>,
-    wishes: BTreeMap<Asked, Wish>,
-    bringing: BTreeMap<ServiceName, Bringing>,
+    evacuated: BTreeSet<DataCentreId>,
+    load_requests: BTreeMap<Asked, LoadRequest>,
+    preload_scans: BTreeMap<ServiceName, PreloadScan>,
     /// Models of each service that no sound engine holds, or none inside a
     /// bound in which they are used, and since when.
-    lost: BTreeMap<ServiceName, LostModels>,
+    missing: BTreeMap<ServiceName, MissingModels>,
     /// Which models are used inside which bounds.
-    bound_use: BoundUse,
+    bound_usage: BoundUse,
     /// Adapters about which orders are under way.
-    ordered_now: BTreeSet<Variant>,
+    pending_adapter_orders: BTreeSet<Variant>,
     /// When models were planned last.
-    planned: Millis,
+    planned_at: Millis,
     weight_loads: WeightLoads,
     /// Whether the weight store bore no more loads when it was planned last.
-    held_back: bool,
+    loads_exhausted: bool,
     /// Which service plans first the next time.
-    turn: usize,
+    next_service_index: usize,
     peaks: BTreeMap<ServiceName, BTreeMap<RegionBound, Peaks>>,
     topology: Topology,
     load_window_s: f64,
@@ -144,19 +144,19 @@
             inputs,
             authority,
             entries: BTreeMap::new(),
-            holders: Holders::default(),
-            questions: 0,
-            emptied: BTreeSet::new(),
-            wishes: BTreeMap::new(),
-            bringing: BTreeMap::new(),
-            lost: BTreeMap::new(),
-            ordered_now: BTreeSet::new(),
-            planned: Millis::default(),
+            holders: ModelHolders::default(),
+            polls_in_flight: 0,
+            evacuated: BTreeSet::new(),
+            load_requests: BTreeMap::new(),
+            preload_scans: BTreeMap::new(),
+            missing: BTreeMap::new(),
+            pending_adapter_orders: BTreeSet::new(),
+            planned_at: Millis::default(),
             weight_loads: WeightLoads::default(),
-            held_back: false,
-            turn: 0,
+            loads_exhausted: false,
+            next_service_index: 0,
             peaks: BTreeMap::new(),
-            bound_use: BoundUse::default(),
+            bound_usage: BoundUse::default(),
             topology,
             load_window_s,
             mechanisms,
@@ -166,32 +166,32 @@
 
     /// Takes in which data centres are to be empty: engines in them count as
     /// gone, so that what they hold comes up elsewhere.
-    pub(super) fn evacuate(&mut self, orders: &EvacuationState) {
-        self.emptied = orders.ordered().cloned().collect();
+    pub(super) fn evacuate(&mut self, evacuations: &EvacuationState) {
+        self.evacuated = evacuations.ordered().cloned().collect();
         for entry in self.entries.values_mut() {
-            entry.empty(self.emptied.contains(&entry.data_centre));
+            entry.set_evacuated(self.evacuated.contains(&entry.data_centre));
         }
     }
 
     /// Takes in the upstreams.
-    pub(super) fn listed(&mut self, listing: &Listing) {
+    pub(super) fn replace_listing(&mut self, listing: &Listing) {
         let entries = &mut self.entries;
         entries.retain(|id, _| listing.upstreams.contains_key(id));
         for upstream in listing.upstreams.values() {
-            self.list(upstream);
+            self.update_listing(upstream);
         }
     }
 
-    fn list(&mut self, upstream: &Arc<Upstream>) {
+    fn update_listing(&mut self, upstream: &Arc<Upstream>) {
         let entry = self.entries.entry(upstream.id.clone());
-        let entry = entry.or_insert_with(|| Entry::new(upstream));
-        entry.list(upstream);
-        entry.empty(self.emptied.contains(&upstream.data_centre));
-        self.holders.note(&upstream.id, entry);
+        let entry = entry.or_insert_with(|| EngineEntry::new(upstream));
+        entry.update_listing(upstream);
+        entry.set_evacuated(self.evacuated.contains(&upstream.data_centre));
+        self.holders.record(&upstream.id, entry);
     }
 
     /// Takes in what changed of some upstreams.
-    pub(super) fn list_changes(
+    pub(super) fn apply_listing_changes(
         &mut self,
         changed: &BTreeSet<UpstreamId>,
         listing: &Listing,
@@ -201,45 +201,46 @@
                 self.entries.remove(id);
                 continue;
             };
-            self.list(upstream);
+            self.update_listing(upstream);
         }
     }
 
     /// Takes in that a request waits for a variant inside its bound.
-    pub(super) fn wished(&mut self, asked: Asked, now: Millis) {
+    pub(super) fn on_load_request(&mut self, asked: Asked, now: Millis) {
         let Asked { bound, variant } = &asked;
-        self.bound_use.note(bound, &variant.model, now);
+        self.bound_usage.note(bound, &variant.model, now);
         let topology = &self.topology;
         // Who wishes for what is there has not been told.
-        for id in self.holders.of(&variant.model) {
+        for id in self.holders.engines_with(&variant.model) {
             let Some(entry) = self.entries.get_mut(id) else { continue };
             let is_inside =
                 bound.allows(topology.region_of(&entry.data_centre));
-            if is_inside && entry.serves(variant) && !entry.uncertain {
-                entry.changed = Some(now);
+            if is_inside && entry.serves(variant) && !entry.needs_report {
+                entry.advertised_since = Some(now);
                 // It may be gone, too: whoever wishes did not reach it.
-                entry.uncertain = now.since(entry.asked) >= ASK_EVERY_MS;
+                entry.needs_report =
+                    now.since(entry.polled_at) >= POLL_INTERVAL_MS;
             }
         }
-        let wish = self.wishes.entry(asked).or_default();
-        wish.repeated = now;
+        let request = self.load_requests.entry(asked).or_default();
+        request.last_made = now;
     }
 
     /// Begins an epoch, with what others ordered before.
     pub(super) fn begin_epoch(
         &mut self,
         epoch: u64,
-        others: Option<Inheritance>,
+        inherited: Option<Inheritance>,
     ) {
         self.stamp = Stamp { epoch, sequence: 0 };
-        self.held_back = false;
-        if let Some(others) = others {
-            self.weight_loads.inherit(others);
+        self.loads_exhausted = false;
+        if let Some(inherited) = inherited {
+            self.weight_loads.inherit(inherited);
         }
-        self.lost.clear();
+        self.missing.clear();
         self.peaks.clear();
         for entry in self.entries.values_mut() {
-            entry.uncertain = true;
+            entry.needs_report = true;
             entry.holding.sequence = 0;
         }
     }
@@ -251,52 +252,57 @@
     }
 
     /// Returns what engines hold since the last orders.
-    pub(super) fn news(&self, now: Millis) -> Vec<EngineHolding> {
-        self.told(|_, entry| entry.is_news(now))
+    pub(super) fn holdings_to_advertise(
+        &self,
+        now: Millis,
+    ) -> Vec<EngineHolding> {
+        self.holdings_where(|_, entry| entry.needs_advertising(now))
     }
 
     /// Returns those of the news that were not told yet.
-    pub(super) fn news_beyond(
+    pub(super) fn holdings_unknown_to(
         &self,
-        known: &KnownUpstreams,
+        peers_known: &KnownUpstreams,
         now: Millis,
     ) -> Vec<EngineHolding> {
-        let is_news = |id: &UpstreamId, entry: &Entry| {
-            entry.is_news(now) && !known.was_told(id, entry.stamp)
+        let is_due = |id: &UpstreamId, entry: &EngineEntry| {
+            entry.needs_advertising(now)
+                && !peers_known.was_told(id, entry.stamp)
         };
-        self.told(is_news)
+        self.holdings_where(is_due)
     }
 
     /// Returns what engines take requests for that give a model up: their
     /// own word in the list says otherwise until they have.
-    pub(super) fn unloading(&self) -> Vec<EngineHolding> {
-        self.told(|_, entry| entry.unloading.is_some())
+    pub(super) fn unloading_holdings(&self) -> Vec<EngineHolding> {
+        self.holdings_where(|_, entry| entry.unloading.is_some())
     }
 
-    fn told(
+    fn holdings_where(
         &self,
-        which: impl Fn(&UpstreamId, &Entry) -> bool,
+        predicate: impl Fn(&UpstreamId, &EngineEntry) -> bool,
     ) -> Vec<EngineHolding> {
-        let entries = self.entries.iter().filter(|(id, one)| which(id, one));
-        let told = entries.map(|(id, entry)| EngineHolding {
+        let entries =
+            self.entries.iter().filter(|(id, one)| predicate(id, one));
+        let holdings = entries.map(|(id, entry)| EngineHolding {
             engine: id.clone(),
             birth: entry.start.birth,
-            holding: entry.usable(),
+            holding: entry.usable_holding(),
             stamp: entry.stamp,
         });
-        told.collect()
+        holdings.collect()
     }
 
     /// Takes in which engines asked this gateway for rest, or take a limited
     /// number of requests: questions and orders would be some of them.
-    pub(super) fn note_rests(
+    pub(super) fn update_restrictions(
         &mut self,
         rests: &Rests,
         limits: &UpstreamLimits,
         now: Millis,
     ) {
         for entry in self.entries.values_mut() {
-            entry.resting = !rests.is_awake(&entry.start, now)
+            entry.restricted = !rests.is_awake(&entry.start, now)
                 || limits.rate(&entry.start).is_some();
         }
     }
@@ -310,14 +316,14 @@
         demand: &DemandSum,
     ) {
         for entry in self.entries.values_mut() {
-            entry.forget_arrivals(now);
+            entry.prune_recent_adapters(now);
         }
         self.holders.rebuild_if_due(&self.entries, now);
-        self.note_bound_use(demand, now);
-        self.ask_where_due(service, now);
-        self.place_adapters(now, service, spec, demand);
+        self.record_bound_usage(demand, now);
+        self.poll_due_engines(service, now);
+        self.place_requested_adapters(now, service, spec, demand);
         if self.mechanisms.adapters_ahead {
-            self.bring_adapters(now, service, spec, demand);
+            self.preload_adapters(now, service, spec, demand);
         }
     }
 
@@ -330,125 +336,125 @@
         demand: &DemandSum,
         loads: &Loads,
     ) -> Option<LoadCount> {
-        if now.since(self.planned) < PLAN_EVERY_MS {
+        if now.since(self.planned_at) < PLAN_EVERY_MS {
             return None;
         }
-        self.planned = now;
+        self.planned_at = now;
         let rate = self.load_rate(catalog)?;
-        self.tell_held_back(now, rate);
+        self.log_loads_exhausted(now, rate);
         self.plan_models(now, catalog, rate, demand, loads);
         let counted = self.weight_loads.count(rate, now);
         Some(LoadCount { counted, allowed: rate.in_window() })
     }
 
     /// Notes which models are used inside bounds.
-    fn note_bound_use(&mut self, demand: &DemandSum, now: Millis) {
+    fn record_bound_usage(&mut self, demand: &DemandSum, now: Millis) {
         for (bound, variants) in demand {
             for variant in variants.keys() {
-                self.bound_use.note(bound, &variant.model, now);
+                self.bound_usage.note(bound, &variant.model, now);
             }
         }
-        self.bound_use.pass(now);
+        self.bound_usage.pass(now);
     }
 
     /// Tells whether an engine is inside a bound.
-    fn is_inside(&self, bound: &RegionBound, entry: &Entry) -> bool {
+    fn is_inside(&self, bound: &RegionBound, entry: &EngineEntry) -> bool {
         bound.allows(self.topology.region_of(&entry.data_centre))
     }
 
     /// Asks engines of which a report is needed, those first that answered
     /// lately and were left alone the longest.
-    fn ask_where_due(&mut self, service: &ServiceName, now: Millis) {
-        let free = MOST_QUESTIONS.saturating_sub(self.questions);
+    fn poll_due_engines(&mut self, service: &ServiceName, now: Millis) {
+        let free = MAX_POLLS_IN_FLIGHT.saturating_sub(self.polls_in_flight);
         if free == 0 {
             return;
         }
-        let of_service =
+        let engines =
             self.entries.iter().filter(|(_, entry)| entry.service == *service);
-        let mut due: Vec<(bool, Millis, &UpstreamId)> = of_service
-            .filter(|(_, entry)| entry.is_question_due(now))
-            .map(|(id, entry)| (entry.failures > 0, entry.asked, id))
+        let mut due: Vec<(bool, Millis, &UpstreamId)> = engines
+            .filter(|(_, entry)| entry.is_poll_due(now))
+            .map(|(id, entry)| (entry.failures > 0, entry.polled_at, id))
             .collect();
         due.sort_unstable();
         due.truncate(free);
         let due: Vec<UpstreamId> =
             due.into_iter().map(|(_, _, id)| id.clone()).collect();
         for id in due {
-            self.ask(&id, now);
+            self.poll_engine(&id, now);
         }
     }
 
-    fn ask(&mut self, id: &UpstreamId, now: Millis) {
+    fn poll_engine(&mut self, id: &UpstreamId, now: Millis) {
         let Some(entry) = self.entries.get_mut(id) else { return };
-        entry.under_way = true;
-        entry.asked = now;
-        self.questions += 1;
+        entry.call_in_flight = true;
+        entry.polled_at = now;
+        self.polls_in_flight += 1;
         let (engines, inputs) = (self.engines.clone(), self.inputs.clone());
         let (start, address) = (entry.start.clone(), entry.address);
         tokio::task::spawn_local(async move {
             let report = engines.report(address).await;
-            let input = Input::Reported { start, report };
+            let input = Input::EngineReported { start, report };
             let _ = inputs.send(input);
         });
     }
 
     /// Takes in an engine's report, which one of its starts was asked for.
-    pub(super) fn reported(
+    pub(super) fn on_report(
         &mut self,
         start: &UpstreamStart,
         report: Result<EngineReport, PortError>,
         now: Millis,
     ) {
-        self.questions = self.questions.saturating_sub(1);
+        self.polls_in_flight = self.polls_in_flight.saturating_sub(1);
         let Some(entry) = self.entries.get_mut(&start.id) else { return };
         if entry.start != *start {
             // An earlier start was asked.
             return;
         }
-        entry.under_way = false;
+        entry.call_in_flight = false;
         let report = match report {
             Ok(report) => report,
             Err(error) => {
                 log::debug!("{} did not report: {error}", start.id);
                 entry.failures += 1;
-                entry.left_alone_until = now + AFTER_FAILURE_MS;
+                entry.backoff_until = now + FAILURE_BACKOFF_MS;
                 return;
             }
         };
         entry.failures = 0;
-        if entry.is_of_this_start(report.birth) {
+        if entry.is_current_start(report.birth) {
             let orders = report.holding.sequence;
             self.weight_loads.seen(start, orders, now);
         }
-        if entry.is_later(report.birth) {
-            entry.begin_anew(report.birth);
-            entry.change(now, &mut self.stamp);
+        if entry.is_later_start(report.birth) {
+            entry.restart(report.birth);
+            entry.mark_changed(now, &mut self.stamp);
         }
-        let is_old = !entry.is_of_this_start(report.birth)
+        let is_stale = !entry.is_current_start(report.birth)
             || report.holding.sequence < entry.holding.sequence;
-        if is_old && entry.old_reports < MOST_OLD_REPORTS {
+        if is_stale && entry.stale_reports < MAX_STALE_REPORTS {
             // It is from before the last order.
-            entry.old_reports += 1;
-            entry.left_alone_until = now + ASK_EVERY_MS / 4;
+            entry.stale_reports += 1;
+            entry.backoff_until = now + POLL_INTERVAL_MS / 4;
             return;
         }
-        if !entry.is_of_this_start(report.birth) {
+        if !entry.is_current_start(report.birth) {
             // Its clock went back.
-            entry.begin_anew(report.birth);
-            entry.change(now, &mut self.stamp);
+            entry.restart(report.birth);
+            entry.mark_changed(now, &mut self.stamp);
         }
-        entry.old_reports = 0;
-        entry.uncertain = false;
-        entry.busy = report.busy;
-        let told = entry.usable();
+        entry.stale_reports = 0;
+        entry.needs_report = false;
+        entry.executing_model_order = report.busy;
+        let advertised = entry.usable_holding();
         if !report.busy {
             entry.loading = None;
             entry.unloading = None;
         }
         entry.holding = report.holding;
-        self.holders.note(&start.id, entry);
-        if entry.usable() != told {
-            entry.change(now, &mut self.stamp);
+        self.holders.record(&start.id, entry);
+        if entry.usable_holding() != advertised {
+            entry.mark_changed(now, &mut self.stamp);
         }
         entry.copies = report.copies;
     }
--- a/crates/valehold-gateway/src/control/placer/models.rs
+++ b/crates/valehold-gateway/src/control/placer/models.rs
@@ -17,11 +17,11 @@
 };
 use valehold_ports::port::fleet::OrderWish;
 
-use super::{LostModels, Placer};
+use super::{MissingModels, Placer};
 use crate::{
     control::{
-        entry::Entry,
-        needs::{needs, note_lost, note_peaks},
+        entry::EngineEntry,
+        needs::{add_missing_durations, add_peak_demand, needs},
     },
     events::Event,
     peers::roster::sums::{DemandSum, Loads},
@@ -30,48 +30,48 @@
 impl Placer {
     /// Notes which models of a service no sound engine holds, or none inside
     /// a bound in which they are used.
-    fn note_lost(
+    fn update_missing_models(
         &mut self,
         now: Millis,
         service: &ServiceName,
         spec: &EngineSpec,
     ) {
-        let mut last = self.lost.remove(service).unwrap_or_default();
+        let mut previous = self.missing.remove(service).unwrap_or_default();
         let models = spec.models.iter().map(|model| &model.name);
-        let mut note = |bound: &RegionBound, missed: Vec<&ModelName>| {
-            let last = last.remove(bound).unwrap_or_default();
-            let since = |model| last.get(model).copied().unwrap_or(now);
-            let since = missed.into_iter().map(|m| (m.clone(), since(m)));
+        let mut with_start = |bound: &RegionBound, models: Vec<&ModelName>| {
+            let previous = previous.remove(bound).unwrap_or_default();
+            let since = |model| previous.get(model).copied().unwrap_or(now);
+            let since = models.into_iter().map(|m| (m.clone(), since(m)));
             (bound.clone(), since.collect())
         };
         let anywhere = RegionBound::Anywhere;
-        let missed = self.missed(service, &anywhere, models);
-        let mut lost = LostModels::from([note(&anywhere, missed)]);
-        for (bound, models) in self.bound_use.bounds() {
+        let models = self.missing_models(service, &anywhere, models);
+        let mut missing = MissingModels::from([with_start(&anywhere, models)]);
+        for (bound, models) in self.bound_usage.bounds() {
             let models = models.filter(|model| spec.model(model).is_some());
-            let missed = self.missed(service, bound, models);
-            lost.extend([note(bound, missed)]);
+            let models = self.missing_models(service, bound, models);
+            missing.extend([with_start(bound, models)]);
         }
-        self.lost.insert(service.clone(), lost);
+        self.missing.insert(service.clone(), missing);
     }
 
     /// Returns those models that no sound engine inside a bound takes
     /// requests for.
-    fn missed<'a>(
+    fn missing_models<'a>(
         &self,
         service: &ServiceName,
         bound: &RegionBound,
         models: impl Iterator<Item = &'a ModelName>,
     ) -> Vec<&'a ModelName> {
         let entries = self.entries.values();
-        let sound = entries.filter(|entry| {
+        let available = entries.filter(|entry| {
             entry.service == *service
-                && entry.is_sound()
+                && entry.is_available()
                 && self.is_inside(bound, entry)
         });
-        let held: BTreeSet<&ModelName> =
-            sound.flat_map(Entry::usable_models).collect();
-        models.filter(|model| !held.contains(model)).collect()
+        let served: BTreeSet<&ModelName> =
+            available.flat_map(EngineEntry::usable_models).collect();
+        models.filter(|model| !served.contains(model)).collect()
     }
 
     /// Plans the models of all services. They share what the weight store
@@ -85,15 +85,15 @@
         loads: &Loads,
     ) {
         let mut services: Vec<_> = catalog.engine_specs().collect();
-        let first = self.turn % services.len().max(1);
+        let first = self.next_service_index % services.len().max(1);
         services.rotate_left(first);
-        self.turn = first + 1;
-        let mut waiting = services.len();
+        self.next_service_index = first + 1;
+        let mut remaining_services = services.len();
         for (service, spec) in services {
-            let left = self.weight_loads.left(rate, now);
-            let allowed = left.div_ceil(waiting);
-            waiting -= 1;
-            self.note_lost(now, service, spec);
+            let available = self.weight_loads.left(rate, now);
+            let allowed = available.div_ceil(remaining_services);
+            remaining_services -= 1;
+            self.update_missing_models(now, service, spec);
             self.place_models(now, service, spec, demand, loads, allowed);
         }
     }
@@ -114,16 +114,18 @@
             .map(|(id, entry)| EngineState {
                 id: id.clone(),
                 data_centre: entry.data_centre.clone(),
-                holding: entry.usable(),
+                holding: entry.usable_holding(),
                 loading: entry.loading.clone(),
-                busy: entry.busy || !entry.may_order(now),
-                sound: entry.is_sound(),
+                busy: entry.executing_model_order || !entry.may_order(now),
+                sound: entry.is_available(),
                 copies: match self.mechanisms.copies_first {
                     true => entry.copies.clone(),
                     false => BTreeSet::new(),
                 },
-                is_counted: self.weight_loads.is_counted(&entry.next_place()),
-                load: load_of(loads, &entry.start),
+                is_counted: self
+                    .weight_loads
+                    .is_counted(&entry.next_position()),
+                load: running_requests(loads, &entry.start),
             })
             .collect();
         let needs = self.needs(now, service, demand, &states);
@@ -137,14 +139,18 @@
             match step {
                 ReplicaStep::Load { engine, model, source } => {
                     let variant = Variant { model, adapter: None };
-                    let wish = OrderWish::Load(variant);
+                    let action = OrderWish::Load(variant);
                     let source = Some(source);
-                    self.order_checked(&engine, wish, source, spec, now);
+                    self.verify_and_send_order(
+                        &engine, action, source, spec, now,
+                    );
                 }
                 ReplicaStep::Unload { engine, model } => {
                     let variant = Variant { model, adapter: None };
-                    let wish = OrderWish::Unload(variant);
-                    self.order_checked(&engine, wish, None, spec, now);
+                    let action = OrderWish::Unload(variant);
+                    self.verify_and_send_order(
+                        &engine, action, None, spec, now,
+                    );
                 }
             }
         }
@@ -158,9 +164,10 @@
         demand: &DemandSum,
         states: &[EngineState],
     ) -> Needs {
-        let mut needs = needs(demand, &self.bound_use);
-        let lost = self.lost.get(service);
-        let lost_in = |bound| lost.and_then(|lost| lost.get(bound));
+        let mut needs = needs(demand, &self.bound_usage);
+        let missing = self.missing.get(service);
+        let missing_in =
+            |bound| missing.and_then(|missing| missing.get(bound));
         let anywhere = RegionBound::Anywhere;
         let everywhere = std::iter::once((&anywhere, &mut needs.everywhere));
         let peaks = self.peaks.entry(service.clone()).or_default();
@@ -168,8 +175,8 @@
             *bound == anywhere || needs.bounds.contains_key(bound)
         });
         for (bound, needs) in everywhere.chain(&mut needs.bounds) {
-            if let Some(lost) = lost_in(bound) {
-                note_lost(needs, lost, now);
+            if let Some(missing) = missing_in(bound) {
+                add_missing_durations(needs, missing, now);
             }
             if self.mechanisms.busy_models_kept {
                 let mut replicas =
@@ -179,7 +186,7 @@
                     *bound == anywhere || needs.contains_key(model)
                 });
                 let peaks = peaks.entry(bound.clone()).or_default();
-                note_peaks(peaks, needs, replicas, now);
+                add_peak_demand(peaks, needs, replicas, now);
             }
         }
         needs
@@ -194,11 +201,11 @@
     }
 
     /// Logs that no more loads may begin for now, once.
-    pub(super) fn tell_held_back(&mut self, now: Millis, rate: LoadRate) {
-        let is_held_back = self.weight_loads.left(rate, now) == 0;
-        let was_held_back =
-            std::mem::replace(&mut self.held_back, is_held_back);
-        if is_held_back && !was_held_back {
+    pub(super) fn log_loads_exhausted(&mut self, now: Millis, rate: LoadRate) {
+        let is_exhausted = self.weight_loads.left(rate, now) == 0;
+        let was_exhausted =
+            std::mem::replace(&mut self.loads_exhausted, is_exhausted);
+        if is_exhausted && !was_exhausted {
             Event::LoadsHeldBack {
                 epoch: self.stamp.epoch,
                 counted: self.weight_loads.count(rate, now),
@@ -229,13 +236,15 @@
 fn log_needs(needs: &ModelNeeds, engines: &[EngineState]) {
     for (model, need) in needs {
         let holds = |e: &&EngineState| e.holding.models.contains_key(model);
-        let held = engines.iter().filter(holds).count();
+        let replicas = engines.iter().filter(holds).count();
         let ModelNeed { busy, adapters, .. } = need;
-        log::debug!("{model}: busy {busy:.2}, {adapters:.1} adapters, {held}");
+        log::debug!(
+            "{model}: busy {busy:.2}, {adapters:.1} adapters, {replicas}"
+        );
     }
 }
 
 /// Returns how many requests are under way at one start of an engine.
-fn load_of(loads: &Loads, start: &UpstreamStart) -> f64 {
+fn running_requests(loads: &Loads, start: &UpstreamStart) -> f64 {
     loads.get(&start.tag()).map_or(0.0, |load| f64::from(load.running))
 }
--- a/crates/valehold-gateway/src/control/placer/tests.rs
+++ b/crates/valehold-gateway/src/control/placer/tests.rs
@@ -37,17 +37,17 @@
     },
 };
 
-use super::{Authority, MOST_QUESTIONS, Placer};
+use super::{Authority, MAX_POLLS_IN_FLIGHT, Placer};
 use crate::{
-    control::input::{GivenOrder, Input, OrderEnd},
+    control::input::{Input, OrderResult, PendingOrder},
     mechanisms::MechanismSettings,
     peers::{message::VariantDemand, roster::sums::DemandSum},
 };
 
 /// Engines that answer nothing.
-struct Silent;
+struct SilentEngines;
 
-impl FleetEngines for Silent {
+impl FleetEngines for SilentEngines {
     fn report(&self, _: SocketAddr) -> Answer<'_, EngineReport> {
         async { Err(PortError::timed_out("silent")) }.boxed()
     }
@@ -63,7 +63,7 @@
     let authority = Authority { holder, epoch: Rc::new(|| Some(1)) };
     let mechanisms = MechanismSettings::default();
     let topology = Topology::new(DataCentreId::new("north"), [].into());
-    let engines = Arc::new(Silent);
+    let engines = Arc::new(SilentEngines);
     Placer::new(engines, inputs, authority, 5.0, mechanisms, topology)
 }
 
@@ -81,7 +81,7 @@
     Holding { sequence, models }
 }
 
-fn list(birth: u64, models: &[&str]) -> Listing {
+fn listing_of_one(birth: u64, models: &[&str]) -> Listing {
     let upstream = Upstream {
         id: UpstreamId::new("e1"),
         service: ServiceName::new("engines"),
@@ -111,90 +111,90 @@
 }
 
 /// Makes a placer that knows an engine's first start: seven orders were taken.
-fn knowing() -> Placer {
+fn placer_with_engine() -> Placer {
     let mut placer = placer();
-    placer.listed(&list(1, &["alpha"]));
+    placer.replace_listing(&listing_of_one(1, &["alpha"]));
     placer.begin_epoch(1, None);
-    placer.reported(&start(1), report(1, 7, &["alpha", "beta"]), at(0));
+    placer.on_report(&start(1), report(1, 7, &["alpha", "beta"]), at(0));
     placer
 }
 
 /// Returns the last word on the engine.
-fn word(placer: &Placer) -> EngineHolding {
-    placer.told(|_, _| true).remove(0)
+fn advertised(placer: &Placer) -> EngineHolding {
+    placer.holdings_where(|_, _| true).remove(0)
 }
 
 #[gtest]
 fn a_report_of_another_start_counts_at_once() {
-    let mut placer = knowing();
-    let before = word(&placer);
-    placer.reported(&start(1), report(2, 0, &[]), at(100));
-    let after = word(&placer);
+    let mut placer = placer_with_engine();
+    let before = advertised(&placer);
+    placer.on_report(&start(1), report(2, 0, &[]), at(100));
+    let after = advertised(&placer);
     expect_that!(after.birth, some(eq(2)));
     expect_that!(after.holding, eq(&holding(0, &[])));
     expect_that!(after.stamp, gt(before.stamp));
-    expect_that!(placer.news(at(100)), len(eq(1)));
+    expect_that!(placer.holdings_to_advertise(at(100)), len(eq(1)));
 }
 
 #[gtest]
 fn an_entry_of_another_start_voids_what_was_known() {
-    let mut placer = knowing();
-    placer.listed(&list(2, &["gamma"]));
-    expect_that!(word(&placer).birth, some(eq(2)));
-    expect_that!(word(&placer).holding, eq(&holding(0, &["gamma"])));
+    let mut placer = placer_with_engine();
+    placer.replace_listing(&listing_of_one(2, &["gamma"]));
+    expect_that!(advertised(&placer).birth, some(eq(2)));
+    expect_that!(advertised(&placer).holding, eq(&holding(0, &["gamma"])));
 }
 
 #[gtest]
 fn a_late_report_brings_no_earlier_start_back() {
-    let mut placer = knowing();
-    placer.listed(&list(2, &[]));
-    placer.reported(&start(2), report(2, 1, &["gamma"]), at(100));
-    let known = word(&placer);
+    let mut placer = placer_with_engine();
+    placer.replace_listing(&listing_of_one(2, &[]));
+    placer.on_report(&start(2), report(2, 1, &["gamma"]), at(100));
+    let unchanged = advertised(&placer);
     // It was asked before the engine started again.
-    placer.reported(&start(1), report(1, 9, &["alpha"]), at(110));
+    placer.on_report(&start(1), report(1, 9, &["alpha"]), at(110));
     // It answers for its earlier start.
-    placer.reported(&start(2), report(1, 9, &["alpha"]), at(120));
-    expect_that!(word(&placer), eq(&known));
+    placer.on_report(&start(2), report(1, 9, &["alpha"]), at(120));
+    expect_that!(advertised(&placer), eq(&unchanged));
 }
 
 #[gtest]
 fn an_order_to_an_earlier_start_changes_nothing() {
-    let mut placer = knowing();
-    placer.listed(&list(2, &[]));
-    let known = word(&placer);
-    let order = GivenOrder {
+    let mut placer = placer_with_engine();
+    placer.replace_listing(&listing_of_one(2, &[]));
+    let unchanged = advertised(&placer);
+    let order = PendingOrder {
         engine: start(1),
         address: ([127, 0, 0, 1], 1).into(),
-        wish: OrderWish::Load(Variant::adapted("alpha", "a1")),
+        action: OrderWish::Load(Variant::adapted("alpha", "a1")),
         expected_sequence: 7,
         epoch: 1,
-        planned: at(0),
+        planned_at: at(0),
         source: None,
-        least_ms: 0,
+        min_duration_ms: 0,
     };
     let outcome = OrderOutcome::Accepted;
     let answer = OrderAnswer { outcome, leaving: false };
-    let taken = OrderEnd::Answered(answer);
-    placer.ordered(order, &taken, at(100));
-    expect_that!(word(&placer), eq(&known));
+    let result = OrderResult::Answered(answer);
+    placer.on_order_finished(order, &result, at(100));
+    expect_that!(advertised(&placer), eq(&unchanged));
 }
 
 /// Engines that count how many are asked at once, and answer after a while.
 #[derive(Default)]
-struct Counting {
-    asked_now: Arc<AtomicUsize>,
-    most: Arc<AtomicUsize>,
-    asked: AtomicUsize,
+struct CountingEngines {
+    in_flight: Arc<AtomicUsize>,
+    max_in_flight: Arc<AtomicUsize>,
+    polled: AtomicUsize,
 }
 
-impl FleetEngines for Counting {
+impl FleetEngines for CountingEngines {
     fn report(&self, _: SocketAddr) -> Answer<'_, EngineReport> {
-        let now = self.asked_now.fetch_add(1, Ordering::Relaxed) + 1;
-        self.most.fetch_max(now, Ordering::Relaxed);
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        let now = self.in_flight.fetch_add(1, Ordering::Relaxed) + 1;
+        self.max_in_flight.fetch_max(now, Ordering::Relaxed);
+        self.polled.fetch_add(1, Ordering::Relaxed);
         async {
             tokio::time::sleep(Duration::from_millis(5)).await;
-            self.asked_now.fetch_sub(1, Ordering::Relaxed);
+            self.in_flight.fetch_sub(1, Ordering::Relaxed);
             report(1, 0, &["alpha"])
         }
         .boxed()
@@ -205,8 +205,10 @@
     }
 }
 
-fn many(count: usize) -> Listing {
-    let one = Upstream::clone(&list(1, &["alpha"]).upstreams[&start(1).id]);
+fn listing_of_engines(count: usize) -> Listing {
+    let one = Upstream::clone(
+        &listing_of_one(1, &["alpha"]).upstreams[&start(1).id],
+    );
     let upstreams = (0..count).map(|number| {
         let id = UpstreamId::new(format!("e{number}"));
         let upstream = Upstream { id: id.clone(), ..one.clone() };
@@ -217,27 +219,28 @@
 
 /// Returns how many of so many engines were asked at once at the most while a
 /// holder began its epoch, and how many were asked in all.
-async fn questions_of(count: usize) -> (usize, usize) {
-    let engines = Arc::new(Counting::default());
+async fn poll_all_engines(count: usize) -> (usize, usize) {
+    let engines = Arc::new(CountingEngines::default());
     let (inputs, mut reports) = mpsc::unbounded_channel();
     let mut placer = Placer { inputs, ..placer() };
     placer.engines = engines.clone();
-    placer.listed(&many(count));
+    placer.replace_listing(&listing_of_engines(count));
     placer.begin_epoch(1, None);
     let service = ServiceName::new("engines");
     let mut now = 1_000;
-    placer.ask_where_due(&service, at(now));
-    while placer.questions > 0 {
-        let Some(Input::Reported { start, report }) = reports.recv().await
+    placer.poll_due_engines(&service, at(now));
+    while placer.polls_in_flight > 0 {
+        let Some(Input::EngineReported { start, report }) =
+            reports.recv().await
         else {
             break;
         };
         now += 1;
-        placer.reported(&start, report, at(now));
-        placer.ask_where_due(&service, at(now));
+        placer.on_report(&start, report, at(now));
+        placer.poll_due_engines(&service, at(now));
     }
-    let most = engines.most.load(Ordering::Relaxed);
-    (most, engines.asked.load(Ordering::Relaxed))
+    let max_in_flight = engines.max_in_flight.load(Ordering::Relaxed);
+    (max_in_flight, engines.polled.load(Ordering::Relaxed))
 }
 
 // A holder asked every engine at once when its epoch began, and kept each
@@ -248,12 +251,13 @@
 #[tokio::test]
 async fn a_holder_asks_no_more_engines_at_once_where_there_are_more() {
     let local = tokio::task::LocalSet::new();
-    let (most, asked) = local.run_until(questions_of(1_000)).await;
-    let (most_of_twice, asked_of_twice) =
-        local.run_until(questions_of(2_000)).await;
-    expect_that!(most, le(256));
-    expect_that!(most_of_twice, eq(most));
-    expect_that!((asked, asked_of_twice), eq((1_000, 2_000)));
+    let (max_in_flight, polled) =
+        local.run_until(poll_all_engines(1_000)).await;
+    let (max_of_twice, polled_of_twice) =
+        local.run_until(poll_all_engines(2_000)).await;
+    expect_that!(max_in_flight, le(256));
+    expect_that!(max_of_twice, eq(max_in_flight));
+    expect_that!((polled, polled_of_twice), eq((1_000, 2_000)));
 }
 
 // Engines that do not answer hold their questions for as long as a question
@@ -266,25 +270,28 @@
         .run_until(async {
             let (inputs, _reports) = mpsc::unbounded_channel();
             let mut placer = Placer { inputs, ..placer() };
-            placer.listed(&many(MOST_QUESTIONS + 1));
+            placer
+                .replace_listing(&listing_of_engines(MAX_POLLS_IN_FLIGHT + 1));
             placer.begin_epoch(1, None);
             let service = ServiceName::new("engines");
-            placer.ask_where_due(&service, at(1_000));
-            let unasked = |placer: &Placer| {
+            placer.poll_due_engines(&service, at(1_000));
+            let not_polled = |placer: &Placer| {
                 let entries = placer.entries.values();
-                entries.filter(|entry| !entry.under_way).count()
+                entries.filter(|entry| !entry.call_in_flight).count()
             };
-            expect_that!(unasked(&placer), eq(1));
-            let asked = placer.entries.values().filter(|one| one.under_way);
-            let asked: Vec<_> = asked.map(|one| one.start.clone()).collect();
-            for start in asked {
+            expect_that!(not_polled(&placer), eq(1));
+            let polled =
+                placer.entries.values().filter(|one| one.call_in_flight);
+            let polled: Vec<_> = polled.map(|one| one.start.clone()).collect();
+            for start in polled {
                 let error = Err(PortError::timed_out("silent"));
-                placer.reported(&start, error, at(1_300));
+                placer.on_report(&start, error, at(1_300));
             }
             // All are due again; the one that was never asked comes first.
-            placer.ask_where_due(&service, at(2_000));
-            let late = placer.entries.values().find(|entry| !entry.under_way);
-            expect_that!(late.map(|entry| entry.failures), some(eq(1)));
+            placer.poll_due_engines(&service, at(2_000));
+            let not_polled =
+                placer.entries.values().find(|entry| !entry.call_in_flight);
+            expect_that!(not_polled.map(|entry| entry.failures), some(eq(1)));
         })
         .await;
 }
@@ -325,9 +332,9 @@
 }
 
 /// Makes a placer that knows what each of some engines holds.
-fn knowing_many(held: &[&[(&str, &[&str])]]) -> Placer {
+fn placer_with_engines(held: &[&[(&str, &[&str])]]) -> Placer {
     let mut placer = placer();
-    placer.listed(&many(held.len()));
+    placer.replace_listing(&listing_of_engines(held.len()));
     for (number, models) in held.iter().enumerate() {
         let id = UpstreamId::new(format!("e{number}"));
         let one = |(model, adapters): &(&str, &[&str])| {
@@ -340,14 +347,14 @@
         let birth = Some(1);
         let report = EngineReport { birth, holding, copies, busy: false };
         let start = UpstreamStart { id, birth };
-        placer.reported(&start, Ok(report), at(0));
+        placer.on_report(&start, Ok(report), at(0));
     }
     placer
 }
 
 /// Returns the adapters about which orders are under way.
-fn ordered(placer: &Placer) -> Vec<String> {
-    placer.ordered_now.iter().map(ToString::to_string).collect()
+fn pending_orders(placer: &Placer) -> Vec<String> {
+    placer.pending_adapter_orders.iter().map(ToString::to_string).collect()
 }
 
 #[gtest]
@@ -361,14 +368,14 @@
                 &[("alpha", &[])],
                 &[("beta", &[])],
             ];
-            let mut placer = knowing_many(held);
+            let mut placer = placer_with_engines(held);
             let spec = spec_of(&["alpha", "beta"]);
             let service = ServiceName::new("engines");
             let demand = demand_for(&[("alpha", 0.5), ("beta", 3.0)]);
-            placer.bring_adapters(at(1_000), &service, &spec, &demand);
+            placer.preload_adapters(at(1_000), &service, &spec, &demand);
             // What is there already is not brought, and no more than three at once.
             let expected = ["alpha/a1", "beta/a2", "beta/a3"];
-            expect_that!(ordered(&placer), eq(&expected));
+            expect_that!(pending_orders(&placer), eq(&expected));
         })
         .await;
 }
@@ -381,7 +388,7 @@
         .run_until(async {
             let held: &[&[(&str, &[&str])]] =
                 &[&[("alpha", &["a1"])], &[("beta", &[])], &[("alpha", &[])]];
-            let mut placer = knowing_many(held);
+            let mut placer = placer_with_engines(held);
             let spec = spec_of(&["alpha", "beta"]);
             let service = ServiceName::new("engines");
             let demand = DemandSum::new();
@@ -389,15 +396,27 @@
             let variant = |model| Variant::adapted(model, "a1");
             for model in ["alpha", "beta", "gamma"] {
                 let (bound, variant) = (bound.clone(), variant(model));
-                placer.wished(Asked { bound, variant }, at(1_000));
+                placer.on_load_request(Asked { bound, variant }, at(1_000));
             }
-            placer.place_adapters(at(1_000), &service, &spec, &demand);
+            placer.place_requested_adapters(
+                at(1_000),
+                &service,
+                &spec,
+                &demand,
+            );
             // One engine has the first already, and none is declared the last.
-            expect_that!(ordered(&placer), elements_are![eq("beta/a1")]);
-            expect_true!(placer.entries[&UpstreamId::new("e1")].under_way);
-            let wishes = placer.wishes.keys().map(|one| &one.variant.model);
-            let wishes: Vec<&str> = wishes.map(ModelName::as_str).collect();
-            expect_that!(wishes, elements_are![eq(&"beta"), eq(&"gamma")]);
+            expect_that!(
+                pending_orders(&placer),
+                elements_are![eq("beta/a1")]
+            );
+            expect_true!(
+                placer.entries[&UpstreamId::new("e1")].call_in_flight
+            );
+            let requests =
+                placer.load_requests.keys().map(|one| &one.variant.model);
+            let requests: Vec<&str> =
+                requests.map(ModelName::as_str).collect();
+            expect_that!(requests, elements_are![eq(&"beta"), eq(&"gamma")]);
         })
         .await;
 }
@@ -408,26 +427,29 @@
 // 126 of 269 models and adapters that were asked for were never served.
 #[gtest]
 fn engines_that_hold_a_model_are_found_without_the_others() {
-    let looked_at = |count: usize| {
+    let holders_among = |count: usize| {
         let mut placer = placer();
-        placer.listed(&many(count));
+        placer.replace_listing(&listing_of_engines(count));
         let id = UpstreamId::new("e1");
         let held = Holding { sequence: 1, ..holding(1, &["beta"]) };
         let entry = placer.entries.get_mut(&id).unwrap();
         entry.holding = held;
-        placer.holders.note(&id, entry);
-        placer.holders.of(&ModelName::new("beta")).count()
+        placer.holders.record(&id, entry);
+        placer.holders.engines_with(&ModelName::new("beta")).count()
     };
-    expect_that!((looked_at(100), looked_at(4_000)), eq((1, 1)));
+    expect_that!((holders_among(100), holders_among(4_000)), eq((1, 1)));
 }
 
 #[gtest]
 fn engines_that_gave_a_model_up_are_forgotten() {
-    let mut placer = knowing();
+    let mut placer = placer_with_engine();
     let beta = ModelName::new("beta");
-    expect_that!(placer.holders.of(&beta).count(), eq(1));
-    placer.reported(&start(1), report(1, 8, &["alpha"]), at(100));
+    expect_that!(placer.holders.engines_with(&beta).count(), eq(1));
+    placer.on_report(&start(1), report(1, 8, &["alpha"]), at(100));
     placer.holders.rebuild_if_due(&placer.entries, at(10_000));
-    expect_that!(placer.holders.of(&beta).count(), eq(0));
-    expect_that!(placer.holders.of(&ModelName::new("alpha")).count(), eq(1));
+    expect_that!(placer.holders.engines_with(&beta).count(), eq(0));
+    expect_that!(
+        placer.holders.engines_with(&ModelName::new("alpha")).count(),
+        eq(1)
+    );
 }
--- a/crates/valehold-gateway/src/control/publishing.rs
+++ b/crates/valehold-gateway/src/control/publishing.rs
@@ -89,8 +89,10 @@
         let listing: &Listing = self.upstreams.listing();
         match (holds, follows) {
             (false, _) => {}
-            (true, false) => self.placer.listed(listing),
-            (true, true) => self.placer.list_changes(&changes, listing),
+            (true, false) => self.placer.replace_listing(listing),
+            (true, true) => {
+                self.placer.apply_listing_changes(&changes, listing)
+            }
         }
     }
 }
--- a/crates/valehold-gateway/src/control/telling.rs
+++ b/crates/valehold-gateway/src/control/telling.rs
@@ -46,7 +46,7 @@
     fn heartbeat(&mut self, now: Millis) -> Heartbeat {
         self.sequence += 1;
         let settings = &self.shared.settings;
-        let lease = self.lease.borrow().word(now);
+        let lease = self.lease.borrow().claim(now);
         let holds = matches!(lease, Some(LeaseWord::Holds { .. }));
         let loads = self.own_loads();
         self.told_loads = loads_by_upstream(&loads);
@@ -73,7 +73,7 @@
             seen: self.limits.seen(),
             // Where hubs alone hear it, all is told by itself.
             holdings: match holds && !self.roster.has_many_groups() {
-                true => self.placer.news(now),
+                true => self.placer.holdings_to_advertise(now),
                 false => Vec::new(),
             },
         }
@@ -167,7 +167,7 @@
         if !holds || !self.roster.has_hubs() {
             return;
         }
-        let unloading = self.placer.unloading();
+        let unloading = self.placer.unloading_holdings();
         if !unloading.is_empty() {
             self.send_all(&Message::Holdings(unloading));
         }
@@ -304,8 +304,8 @@
                 self.hear_heartbeat(from, *heartbeat, now);
             }
             Message::Wish(asked) => {
-                self.placer.wished(asked, now);
-                self.place_soon();
+                self.placer.on_load_request(asked, now);
+                self.request_placement();
             }
             Message::Holdings(holdings) => {
                 self.upstreams.tell(holdings, now);
@@ -416,7 +416,7 @@
         self.learn_paces(&heartbeat.paces, now);
         if let Some(word) = heartbeat.lease {
             let rumour = LeaseRumour { from, word, age_ms: 0 };
-            self.lease.borrow_mut().heard(rumour, now);
+            self.lease.borrow_mut().on_lease_report(rumour, now);
         }
         let is_new = self.roster.on_heartbeat(from, heartbeat, now);
         self.upstreams.tell(holdings, now);
@@ -432,7 +432,7 @@
 
     fn hear_rumours(&mut self, now: Millis) {
         for rumour in self.roster.lease_reports(now) {
-            self.lease.borrow_mut().heard(rumour, now);
+            self.lease.borrow_mut().on_lease_report(rumour, now);
         }
     }
 }
--- a/crates/valehold-gateway/src/control/upstreams.rs
+++ b/crates/valehold-gateway/src/control/upstreams.rs
@@ -73,7 +73,7 @@
         if self.lease.borrow().held_epoch(now).is_none() {
             return;
         }
-        let news = self.placer.news_beyond(&self.upstreams, now);
+        let news = self.placer.holdings_unknown_to(&self.upstreams, now);
         if news.is_empty() {
             return;
         }
