--- a/crates/valehold-gateway/src/control/entry.rs
+++ b/crates/valehold-gateway/src/control/entry.rs
@@ -1,4 +1,4 @@
-//! What the holder of the lease knows of one engine.
+//! The state of one engine as the lease holder knows it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,67 +16,81 @@
 };
 use valehold_ports::port::fleet::OrderWish;
 
-/// After how many failures in a row an engine is taken for gone.
+/// The number of consecutive failed polls after which an engine counts as
+/// unavailable.
 const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
 
-/// How often an engine that is busy is asked, in ms.
+/// The interval at which an engine that executes a model order is polled, in
+/// ms.
 pub(super) const POLL_INTERVAL_MS: u64 = 300;
 
-/// How long what an engine holds is told to peers after a change, in ms.
+/// How long the holding of an engine is advertised to peers after a change,
+/// in ms.
 const ADVERTISE_FOR_MS: u64 = 3_000;
 
-/// For how long an adapter does not make way for another, in ms.
+/// How long after its load an adapter is not unloaded in favour of another,
+/// in ms.
 const RECENT_LOAD_MS: u64 = 2_500;
 
-/// What is known of one engine.
+/// The state of one engine: the facts from the list of upstreams, its last
+/// report, and the effects of orders since then.
 #[derive(Debug, Clone)]
 pub(super) struct EngineEntry {
-    /// Which start of the engine this is about.
+    /// The start (process) of the engine that the entry describes.
     pub(super) start: UpstreamStart,
     pub(super) service: ServiceName,
     pub(super) address: SocketAddr,
     pub(super) data_centre: DataCentreId,
     pub(super) leaving: bool,
-    /// Whether its data centre is to be empty: it is told and asked nothing.
+    /// Whether operators evacuate the engine's data centre: the engine gets no
+    /// orders and is not polled.
     pub(super) evacuated: bool,
-    /// Whether it asked this gateway for rest, or takes a limited number of
-    /// requests: it is told and asked nothing, and keeps what it holds.
+    /// Whether the engine asked this gateway to back off, or accepts a limited
+    /// number of requests: the engine gets no orders, is not polled and keeps
+    /// its models.
     pub(super) restricted: bool,
+    /// The models and adapters on the engine, as of its last report and the
+    /// orders that the engine accepted since then.
     pub(super) holding: Holding,
+    /// The model that the engine was ordered to load.
     pub(super) loading: Option<ModelName>,
-    /// A model that it was told to give up; it takes no new requests for it,
-    /// and holds it until those that run are over.
+    /// The model that the engine was ordered to unload. The engine accepts no
+    /// new requests for the model and holds it until running requests finish.
     pub(super) unloading: Option<ModelName>,
-    /// Whether an order about a model is being carried out.
+    /// Whether the engine is executing an order to load or unload a model.
     pub(super) executing_model_order: bool,
-    /// Whether a report has to come before the next order.
+    /// Whether the next order has to wait for a report of the engine.
     pub(super) needs_report: bool,
-    /// Whether a report or an order is under way.
+    /// Whether a poll of the engine or an order to it is in flight.
     pub(super) call_in_flight: bool,
+    /// The time of the last poll.
     pub(super) polled_at: Millis,
-    /// Before this, an order about a model that is being carried out cannot
-    /// be done.
+    /// The earliest time at which the model order that the engine executes can
+    /// be complete.
     pub(super) earliest_completion: Millis,
+    /// The time before which the engine gets no calls.
     pub(super) backoff_until: Millis,
+    /// Consecutive polls without an answer.
     pub(super) failures: u32,
-    /// Reports in a row from before what is known.
+    /// Consecutive reports that are older than the entry.
     pub(super) stale_reports: u32,
-    /// Orders in a row that met another one.
+    /// Consecutive orders that the engine rejected or that were not sent.
     pub(super) conflicts: u32,
-    /// Models of which it keeps copies.
+    /// Models of which the engine keeps local copies.
     pub(super) copies: BTreeSet<ModelName>,
-    /// When peers were first told of what it holds now.
+    /// When the current holding was first due to be advertised to peers.
     pub(super) advertised_since: Option<Millis>,
-    /// Orders what peers are told of it.
+    /// Puts the advertisements of the engine's holding in order.
     pub(super) stamp: Stamp,
-    /// Adapters that it was told to load lately, and when.
+    /// Adapters that the engine was recently ordered to load, with the time of
+    /// each order.
     pub(super) recent_adapters: BTreeMap<Variant, Millis>,
-    /// What the list said last.
+    /// The latest record of the engine in the list of upstreams.
     pub(super) last_listed: Arc<Upstream>,
 }
 
 impl EngineEntry {
-    /// Makes the entry of an engine that has not reported yet.
+    /// Creates the entry of an engine that has not reported yet.
     pub(super) fn new(upstream: &Arc<Upstream>) -> Self {
         Self {
             start: upstream.start(),
@@ -106,8 +120,10 @@
         }
     }
 
-    /// Takes in what the list says. Nothing that was known, ordered or
-    /// expected of an earlier start says anything of a later one.
+    /// Applies the engine's record in the list of upstreams.
+    ///
+    /// A record of a later start replaces the whole entry: reports of an
+    /// earlier start and orders to it do not apply to a later one.
     pub(super) fn update_listing(&mut self, upstream: &Arc<Upstream>) {
         if self.start.birth < upstream.birth {
             *self = Self::new(upstream);
@@ -117,23 +133,27 @@
         let holding_changed = self.last_listed.holding != upstream.holding;
         self.last_listed = upstream.clone();
         if holding_changed {
-            // Another one's orders, or none: the engine itself tells.
+            // Orders of another holder may have caused the change. Only a
+            // report of the engine is conclusive.
             self.needs_report |=
                 upstream.holding.models != self.holding.models;
         }
     }
 
-    /// Tells whether a report that states a birth is of a later start.
+    /// Returns whether a report with a start time comes from a later start of
+    /// the engine than the entry describes.
     pub(super) fn is_later_start(&self, started_at_ms: Option<u64>) -> bool {
         self.start.birth < started_at_ms
     }
 
-    /// Tells whether what states a birth, or none, is of this start.
+    /// Returns whether a report comes from the start that the entry describes.
+    /// A report without a start time is attributed to that start.
     pub(super) fn is_current_start(&self, started_at_ms: Option<u64>) -> bool {
         started_at_ms.is_none() || started_at_ms == self.start.birth
     }
 
-    /// Begins anew with a later start, which has not been listed yet.
+    /// Resets the entry for another start of the engine that is not in the
+    /// list of upstreams yet.
     pub(super) fn restart(&mut self, started_at_ms: Option<u64>) {
         let listed = Upstream::clone(&self.last_listed);
         let holding = Holding::default();
@@ -143,26 +163,30 @@
         *self = Self { evacuated, ..Self::new(&upstream) };
     }
 
-    /// Takes in whether its data centre is to be empty. What it holds after
-    /// that has to be asked: it may have started anew meanwhile.
+    /// Records whether the engine's data centre is evacuated. When an
+    /// evacuation ends, the engine has to be polled, since it may have been
+    /// restarted in the meantime.
     pub(super) fn set_evacuated(&mut self, evacuated: bool) {
         self.needs_report |= self.evacuated && !evacuated;
         self.evacuated = evacuated;
     }
 
-    /// Tells whether it answers, stays and may be used.
+    /// Returns whether the engine responds, is not leaving and is not
+    /// evacuated.
     pub(super) fn is_available(&self) -> bool {
         !self.leaving
             && !self.evacuated
             && self.failures < UNAVAILABLE_AFTER_FAILURES
     }
 
-    /// Returns which of the orders that it takes the next one is.
+    /// Returns the position of the next order in the engine's sequence of
+    /// orders.
     pub(super) fn next_position(&self) -> OrderPlace {
         let start = self.start.clone();
         OrderPlace { start, sequence: self.holding.sequence }
     }
 
+    /// Returns whether an order can be sent to the engine now.
     pub(super) fn may_order(&self, now: Millis) -> bool {
         self.is_available()
             && !self.restricted
@@ -171,7 +195,8 @@
             && now >= self.backoff_until
     }
 
-    /// Tells whether its report is needed, and may be asked for now.
+    /// Returns whether a report of the engine is needed and a poll is allowed
+    /// now.
     pub(super) fn is_poll_due(&self, now: Millis) -> bool {
         if self.leaving
             || self.evacuated
@@ -186,19 +211,20 @@
         now >= self.backoff_until && (self.needs_report || may_be_complete)
     }
 
-    /// Tells whether it takes requests for a variant.
+    /// Returns whether the engine accepts requests for a variant.
     pub(super) fn serves(&self, variant: &Variant) -> bool {
         self.holding.has(variant)
             && self.unloading.as_ref() != Some(&variant.model)
     }
 
-    /// Returns the models that it takes requests for.
+    /// Returns the models for which the engine accepts requests.
     pub(super) fn usable_models(&self) -> impl Iterator<Item = &ModelName> {
         let models = self.holding.models.keys();
         models.filter(|model| self.unloading.as_ref() != Some(model))
     }
 
-    /// Returns what it takes requests for.
+    /// Returns the models and adapters for which the engine accepts requests:
+    /// its holding without the model that is being unloaded.
     pub(super) fn usable_holding(&self) -> Holding {
         let mut usable = self.holding.clone();
         if let Some(model) = &self.unloading {
@@ -207,33 +233,35 @@
         usable
     }
 
-    /// Tells whether what it holds is still to be told to peers.
+    /// Returns whether the engine's holding still has to be advertised to
+    /// peers.
     pub(super) fn needs_advertising(&self, now: Millis) -> bool {
         self.advertised_since
             .is_some_and(|at| now.since(at) < ADVERTISE_FOR_MS)
             || self.unloading.is_some()
     }
 
-    /// Notes that peers are to be told what it holds now.
+    /// Schedules advertisements of the engine's current holding, with a new
+    /// stamp that follows `last`.
     pub(super) fn mark_changed(&mut self, now: Millis, last: &mut Stamp) {
         last.sequence += 1;
         self.stamp = *last;
         self.advertised_since = Some(now);
     }
 
-    /// Forgets when adapters came that may make way again.
+    /// Prunes adapters that may be unloaded in favour of others again.
     pub(super) fn prune_recent_adapters(&mut self, now: Millis) {
         self.recent_adapters.retain(|_, at| now.since(*at) < RECENT_LOAD_MS);
     }
 
-    /// Goes back to before an order of which the effect is not known, so that
-    /// the next report counts, whatever it says.
+    /// Reverts the entry to its state before an order whose effect is unknown,
+    /// so that the next report is applied whatever its contents.
     pub(super) fn discard_assumed_effect(&mut self, expected_sequence: u64) {
         self.holding.sequence = expected_sequence;
         self.unloading = None;
     }
 
-    /// Notes an order that the engine took.
+    /// Applies an order that the engine accepted.
     pub(super) fn apply(&mut self, action: &OrderWish, now: Millis) {
         match action {
             OrderWish::Load(variant) => self.apply_load(variant, now),
