--- a/crates/valehold-gateway/src/control/input.rs
+++ b/crates/valehold-gateway/src/control/input.rs
@@ -1,4 +1,4 @@
-//! What control takes in, one after the other.
+//! The inputs that control processes one at a time, and their parts.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,7 +21,7 @@
 use super::crashes::RecordDone;
 use crate::peers::state::PeerState;
 
-/// A write of the lease that was sent.
+/// A write of the lease's row that was sent to the store.
 #[derive(Debug, Clone)]
 pub(super) struct SentLeaseWrite {
     pub(super) version: u64,
@@ -30,51 +30,52 @@
     pub(super) sent: Millis,
 }
 
-/// An order that was given, or was to be.
+/// An order to an engine, from its plan to its result.
 #[derive(Debug, Clone)]
 pub(super) struct PendingOrder {
     pub(super) engine: UpstreamStart,
     pub(super) address: SocketAddr,
     pub(super) action: OrderWish,
     pub(super) expected_sequence: u64,
-    /// The epoch under which it was planned.
+    /// The lease epoch under which the order was planned.
     pub(super) epoch: u64,
-    /// When it was planned.
+    /// When the order was planned.
     pub(super) planned_at: Millis,
-    /// For a load of a model, where the model is to come from.
+    /// The source of the model, for an order to load one.
     pub(super) source: Option<LoadSource>,
-    /// The least time that carrying it out takes, in ms, if the engine has
-    /// no copy.
+    /// The minimum time that the engine needs to execute the order, in ms,
+    /// unless the engine has a local copy of the model.
     pub(super) min_duration_ms: u64,
 }
 
 impl PendingOrder {
-    /// Returns which of the orders that its engine takes it is.
+    /// Returns the position of the order in its engine's sequence of orders.
     pub(super) fn position(&self) -> OrderPlace {
         let start = self.engine.clone();
         OrderPlace { start, sequence: self.expected_sequence }
     }
 }
 
-/// How an order ended.
+/// The result of an order.
 #[derive(Debug)]
 pub(super) enum OrderResult {
     /// The engine answered.
     Answered(OrderAnswer),
-    /// No answer: it may be carried out, also later.
+    /// The engine did not answer, and may execute the order now or later.
     Unanswered(PortError),
-    /// It was not sent: the engine is not as it was thought to be, or the
-    /// lease is over.
+    /// The order was not sent: the engine's state differs from the assumed
+    /// one, or the lease has ended.
     NotSent,
 }
 
 impl OrderResult {
-    /// Tells whether the engine said that it leaves.
+    /// Returns whether the engine reported that it is leaving.
     pub(super) fn reports_leaving(&self) -> bool {
         matches!(self, Self::Answered(answer) if answer.leaving)
     }
 
-    /// Returns what the engine said to the order, if it answered.
+    /// Returns the outcome that the engine answered, or `None` without an
+    /// answer.
     pub(super) fn outcome(&self) -> Option<OrderOutcome> {
         match self {
             Self::Answered(answer) => Some(answer.outcome),
@@ -82,20 +83,21 @@
         }
     }
 
-    /// Tells whether the engine took it, or holds what it is for.
+    /// Returns whether the engine accepted the order or already holds the
+    /// ordered variant.
     pub(super) fn was_accepted(&self) -> bool {
         let accepted = [OrderOutcome::Accepted, OrderOutcome::Holds];
         self.outcome().is_some_and(|outcome| accepted.contains(&outcome))
     }
 
-    /// Returns what it says of the load that was ordered.
+    /// Returns the conclusion for the load that was ordered.
     pub(super) fn load_outcome(&self) -> LoadEnd {
         match self {
             Self::NotSent => LoadEnd::NotBegun,
             Self::Answered(answer) => match answer.outcome {
                 OrderOutcome::Accepted | OrderOutcome::Holds => LoadEnd::Began,
                 OrderOutcome::Conflict => LoadEnd::NotBegun,
-                // Failures of the engine are among these.
+                // Refusals include failures of the engine.
                 OrderOutcome::Refused => LoadEnd::Unknown,
             },
             Self::Unanswered(error) => match error.verdict() {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Returns the label under which it is counted.
+    /// Returns the label of the result in metrics and events.
     pub(super) fn label(&self) -> &'static str {
         match self {
             Self::Answered(answer) => match answer.outcome {
@@ -120,49 +122,49 @@
     }
 }
 
-/// What control takes in.
+/// An input of control.
 #[derive(Debug)]
 pub(super) enum Input {
-    /// The store answered a read of what operators wrote or a watch on it.
+    /// The store answered a read or a watch of the operators' configuration.
     CatalogUpdated {
-        /// The store's version.
+        /// The version of the store.
         version: u64,
-        /// The configuration, if there is a newer one.
+        /// The configuration, if it is newer than the known one.
         catalog: Option<Box<Catalog>>,
-        /// Orders to empty data centres.
+        /// Orders to evacuate data centres.
         evacuations: EvacuationUpdate,
     },
     /// The store did not answer a read or a watch.
     StoreFailed {
-        /// Why.
+        /// The cause.
         error: PortError,
         /// How long the call lasted.
         lasted: Duration,
     },
-    /// All upstreams were read.
+    /// The whole list of upstreams was read.
     ListingRead(Listing),
-    /// Upstreams changed.
+    /// The list of upstreams changed.
     ListingChanged(ListingNews),
-    /// A peer gave its state, or did not.
+    /// A request for the state of a peer ended.
     PeerState {
-        /// Where it was read.
+        /// The address of the peer's state.
         peer: SocketAddr,
-        /// What came of it.
+        /// The state, or why it could not be read.
         state: Result<PeerState, PortError>,
     },
     /// The lease's row was read.
     LeaseRead(Result<LeaseSight, PortError>),
     /// A write of the lease ended.
     LeaseWritten(SentLeaseWrite, Result<LeaseWrite, PortError>),
-    /// An engine reported.
+    /// A poll of an engine ended.
     EngineReported {
         start: UpstreamStart,
         report: Result<EngineReport, PortError>,
     },
     /// An order ended.
     OrderFinished(PendingOrder, OrderResult),
-    /// A call about the record of refused requests ended.
+    /// A call to the store about the record of refused requests ended.
     RecordCallFinished(RecordDone),
-    /// A datagram came.
+    /// A datagram arrived from an address.
     Datagram(SocketAddr, Vec<u8>),
 }
