--- a/crates/valehold-gateway/src/control/loads.rs
+++ b/crates/valehold-gateway/src/control/loads.rs
@@ -1,9 +1,10 @@
-//! Telling what is under way at upstreams, and what is let through, more often
-//! than heartbeats do.
+//! Reports of loads and usage between heartbeats.
 //!
-//! Where gateways are few, each hears these of every other in its heartbeats.
-//! Where hubs sum up, a gateway tells the hubs as soon as they changed, and
-//! the foremost hub tells all the sums, and what is ruled by them.
+//! In a small fleet, each gateway receives the loads (requests in flight at
+//! upstreams) and the usage (admitted requests) of every other gateway with
+//! its heartbeats. In a fleet with hubs, a gateway reports its loads and usage
+//! to the hubs as soon as they change. The primary hub sends the sums, and
+//! the throttles that follow from the sums, to the gateways of its group.
 
 use std::sync::Arc;
 
@@ -21,26 +22,31 @@
     view::Load,
 };
 
-/// How often a gateway tells hubs what it has under way, and the foremost hub
-/// tells all, in ms. A gateway sends to engines on what it believes to run
-/// there: on the users' bench what ran differed by 5 and more in a quarter of
-/// sends while the word of others was 0.75 s old on average.
+/// The interval at which a gateway reports its loads to hubs and the primary
+/// hub sends the sums, in ms.
+///
+/// A gateway chooses engines by the loads that it knows. With reports of other
+/// gateways that were 0.75 s old on average, the known load differed by 5 or
+/// more from the real one for a quarter of the requests on the users' bench.
 const LOAD_REPORT_INTERVAL_MS: u64 = 150;
 
-/// How many upstreams' sums are told at once: those that changed the most.
-/// The users bound all of control by 8,000 bytes a second on the way to their
-/// largest size; each of these has 9 bytes or fewer.
+/// The maximum number of upstreams whose sums one update contains; those that
+/// changed the most come first.
+///
+/// The users limit all control traffic to 8,000 bytes a second up to the
+/// largest fleet that they plan. Each sum has 9 bytes or fewer.
 const MAX_SUMS_PER_UPDATE: usize = 96;
 
 impl Control {
-    /// Tells what is under way between heartbeats, where hubs sum it up.
+    /// Sends this gateway's loads, or the sums of all, between heartbeats if
+    /// the fleet has hubs.
     pub(super) fn send_loads(&mut self, now: Millis) {
         self.loads_due = now + LOAD_REPORT_INTERVAL_MS;
         if !self.roster.has_hubs() {
             return;
         }
         if self.roster.is_primary_hub() {
-            // Where the link is full, sums are told as often as it bears.
+            // On a saturated link, sums are sent as often as it permits.
             if self.outbox.borrow().is_empty() {
                 self.send_sums(now);
             }
@@ -52,8 +58,8 @@
         }
     }
 
-    /// Tells this gateway's group the sums and rulings, and the hubs of other
-    /// groups what its own has under way and let through.
+    /// Sends the sums and throttles to this gateway's group, and the loads and
+    /// usage of the group to the hubs of other groups.
     fn send_sums(&mut self, now: Millis) {
         let rulings = self.rule_limits(now);
         let own = self.loads_to_report();
@@ -84,8 +90,7 @@
         self.send(group, &Message::HubNews(update));
     }
 
-    /// Tells hubs what this gateway has under way and let through, if that
-    /// changed.
+    /// Reports the loads and usage of this gateway to hubs if they changed.
     fn send_load_report(&mut self, now: Millis) {
         let loads = self.loads_to_report();
         let usage = self.usage_news(now);
@@ -108,12 +113,13 @@
         self.send(self.roster.other_local_hubs(), &Message::Loads(report));
     }
 
+    /// Returns whether the settings enable load reports between heartbeats.
     fn reports_between_heartbeats(&self) -> bool {
         self.shared.settings.mechanisms.loads_between_heartbeats
     }
 
-    /// Returns what this gateway has under way, or what it said with its last
-    /// heartbeat that it has, if loads are not told in between.
+    /// Returns the current loads of this gateway, or the loads of its last
+    /// heartbeat if reports between heartbeats are disabled.
     fn loads_to_report(&self) -> Vec<UpstreamLoad> {
         match self.reports_between_heartbeats() {
             true => self.own_loads(),
@@ -121,7 +127,7 @@
         }
     }
 
-    /// Returns what this gateway has under way.
+    /// Returns the loads of this gateway at upstreams where they are not zero.
     pub(super) fn own_loads(&self) -> Vec<UpstreamLoad> {
         let loads = self.shared.loads();
         let busy = loads.iter().filter(|(_, load)| **load != Load::default());
@@ -131,7 +137,7 @@
         busy.map(to_report).collect()
     }
 
-    /// Publishes what the others have under way.
+    /// Publishes the loads of all other gateways to traffic.
     pub(super) fn publish_loads(&self, now: Millis) {
         let others = self.roster.loads_of_others(&self.told_loads, now);
         self.shared.peer_loads.store(Arc::new(others));
