--- a/crates/valehold-gateway/src/control/needs.rs
+++ b/crates/valehold-gateway/src/control/needs.rs
@@ -1,4 +1,4 @@
-//! What the demand that all gateways hear asks of each model.
+//! The needs of each model, derived from the demand at all gateways.
 
 use std::collections::BTreeMap;
 
@@ -15,11 +15,11 @@
 
 use crate::peers::{message::VariantDemand, roster::sums::DemandSum};
 
-/// For how long a request keeps its adapter in use, in s.
+/// How long a request keeps its adapter in use, in s.
 const ADAPTER_USE_S: f64 = 2.0;
 
-/// Returns what each model needs, everywhere and inside the bounds in which
-/// it is used.
+/// Returns the needs of each model, in total and inside each region bound in
+/// which the model is used.
 pub(super) fn needs(demand: &DemandSum, usage: &BoundUse) -> Needs {
     let everywhere = needs_within(demand, &RegionBound::Anywhere);
     let bounds = usage.bounds().map(|(bound, models)| {
@@ -32,8 +32,8 @@
     Needs { everywhere, bounds: bounds.collect() }
 }
 
-/// Returns what the demand asks of each model that can be served inside a
-/// bound only.
+/// Returns the needs of each model that result from the demand that has to be
+/// served inside a bound.
 fn needs_within(demand: &DemandSum, bound: &RegionBound) -> ModelNeeds {
     let matching = demand
         .iter()
@@ -49,7 +49,7 @@
     needs
 }
 
-/// Adds to each model's need for how long it has been lost.
+/// Adds to each missing model's need how long the model has been missing.
 pub(super) fn add_missing_durations(
     needs: &mut ModelNeeds,
     missing: &BTreeMap<ModelName, Millis>,
@@ -61,8 +61,8 @@
     }
 }
 
-/// Adds to each model's need how busy it was lately, given how many of the
-/// engines there hold it.
+/// Adds to each model's need its recent peak demand, given the number of
+/// replicas of the model.
 pub(super) fn add_peak_demand(
     peaks: &mut Peaks,
     needs: &mut ModelNeeds,
@@ -77,7 +77,11 @@
     }
 }
 
-/// Returns the chance that an adapter is in use at a moment.
+/// Returns the probability that an adapter is in use at a given moment.
+///
+/// Arrivals are treated as a Poisson process: an adapter without running
+/// requests is in use if a request arrived within the last
+/// [`ADAPTER_USE_S`].
 fn probability_in_use(demand: &VariantDemand) -> f64 {
     let requests = f64::from(demand.requests);
     match demand.running {
