--- a/crates/valehold-gateway/src/control/placement.rs
+++ b/crates/valehold-gateway/src/control/placement.rs
@@ -1,4 +1,4 @@
-//! When models and adapters are placed, and for which demand.
+//! When models and adapters are placed, and on which sums of demand.
 
 use tokio::time::Instant;
 use valehold_core::Millis;
@@ -6,28 +6,30 @@
 use super::{Control, demand::Sums, placer::LoadCount};
 use crate::view::Load;
 
-/// For how many times as long as placing took other work goes on before the
-/// next time, unless that is due by the clock.
+/// The pause after a placement, as a multiple of the time that the placement
+/// took. Other work proceeds during the pause. Regular placements, which
+/// follow the clock, do not wait for the pause to end.
 const PAUSE_FACTOR: u32 = 4;
 
-/// When models and adapters are placed next.
+/// The earliest times of the next placement and the next plan.
 #[derive(Debug, Default)]
 pub(super) struct PlacementSchedule {
+    /// Whether a placement was requested since the last one.
     is_requested: bool,
-    /// From when on it is done before it is due by itself.
+    /// The earliest time of a requested placement.
     not_before: Option<Instant>,
-    /// From when on models are planned again.
+    /// The earliest time of the next plan for models.
     plan_not_before: Option<Instant>,
 }
 
 impl PlacementSchedule {
-    /// Notes that it has just been done.
+    /// Records that a placement has just ended.
     fn record_placement(&mut self, started: Instant) {
         self.is_requested = false;
         self.not_before = Some(next_start(started));
     }
 
-    /// Notes that models have just been planned.
+    /// Records that a plan for models has just been made.
     fn record_plan(&mut self, started: Instant) {
         self.plan_not_before = Some(next_start(started));
     }
@@ -41,8 +43,9 @@
     }
 }
 
-/// Returns when work that began then is done again: after several times as long
-/// as it took, so that it leaves a machine of any strength to other work.
+/// Returns the earliest time to repeat work that has just ended. The pause is
+/// a multiple of the duration of the work, so that other work gets its share
+/// of the processor on a machine of any speed.
 fn next_start(started: Instant) -> Instant {
     Instant::now() + started.elapsed() * PAUSE_FACTOR
 }
@@ -52,19 +55,22 @@
 }
 
 impl Control {
-    /// Places models and adapters soon: at once, but for as long as others have
-    /// to get their turn where that takes long.
+    /// Requests a placement of models and adapters as soon as the pause after
+    /// the last placement has ended.
     pub(super) fn request_placement(&mut self) {
         self.placing.is_requested = true;
     }
 
+    /// Places models and adapters if that was requested and the pause after
+    /// the last placement has ended.
     pub(super) fn place_if_requested(&mut self) {
         if self.placing.is_requested && self.placing.is_due() {
             self.place(self.now());
         }
     }
 
-    /// Places models and adapters, if this gateway may give orders.
+    /// Places models and adapters if this gateway may give orders, whether
+    /// the pause has ended or not.
     pub(super) fn place(&mut self, now: Millis) {
         let started = Instant::now();
         self.place_now(now);
@@ -104,7 +110,7 @@
         }
     }
 
-    /// Adds up what all gateways are asked for and have under way.
+    /// Returns the sums of demand and loads over all gateways.
     fn fleet_sums(&self, now: Millis) -> Sums {
         let own = self.demand.list(&self.shared.running());
         let demand = self.roster.sum_demand(&own, now);
