--- a/crates/valehold-gateway/src/control/lease.rs
+++ b/crates/valehold-gateway/src/control/lease.rs
@@ -1,16 +1,19 @@
-//! Holding the lease under which models are placed.
+//! The lease under which one gateway at a time places models.
 //!
-//! Engines do not check fences, so a new holder keeps quiet until whatever
-//! the old one sent has arrived and the bound between holders has passed.
-//! From when on orders may be given stands in the row, on the store's clock,
-//! so that a machine that held the lease before it restarted goes on at once.
+//! Engines do not check fences (the epochs of orders). A new holder therefore
+//! sends no orders until all orders of the previous holder have arrived and
+//! the configured quiet time between two holders has passed. The row of the
+//! lease states the earliest time of the next orders, on the store's clock, so
+//! that a gateway that held the lease before a restart continues at once.
 //!
-//! A holder that cannot reach the store while others can gives the lease up
-//! by its own word, and another need not wait for its term to end.
+//! A holder that cannot reach the store while other gateways can releases the
+//! lease by a message to its peers. The next holder then does not wait for the
+//! end of the term.
 //!
-//! When the store comes back from an older copy, whoever holds the lease writes
-//! its row anew. Where nobody does, nobody knows whether another took it by a
-//! write that is gone: it is taken a whole term after that was heard.
+//! When the store is restored from an older copy, the current holder writes
+//! its row again. Without a current holder, a gateway may have taken the lease
+//! by a write that the copy does not contain. The lease is then taken only
+//! after the restored row has been unchanged for a whole term.
 
 #[cfg(test)]
 mod tests;
@@ -41,59 +44,61 @@
     peers::message::{LeaseRumour, LeaseWord},
 };
 
-/// The lease's terms: contenders wait for the whole term, a holder stops
-/// well before.
+/// The times of the lease: contenders wait for the whole term, and the holder
+/// stops a margin before its end.
 const TERMS: LeaseTerms =
     LeaseTerms { term_ms: 3_600, margin_ms: 600, renew_after_ms: 700 };
 
-/// How long an order may be on its way, in ms.
+/// The maximum time that an order takes to arrive, in ms.
 const ORDER_TRANSIT_MS: u64 = 800;
 
-/// By how much two readings of the store's clock may differ, in ms.
+/// The maximum difference between two readings of the store's clock, in ms.
 const CLOCK_TOLERANCE_MS: u64 = 500;
 
-/// How long a gateway waits between two calls about the lease, in ms.
+/// The minimum interval between two calls to the store about the lease, in ms.
 const CALL_INTERVAL_MS: u64 = 250;
 
-/// Of how many places each adds such a wait between the calls of a gateway
-/// that contends for the lease: those further down wait for those before.
+/// The number of positions after which [`CALL_INTERVAL_MS`] is added once more
+/// to the interval between the calls of a contender. Contenders at higher
+/// positions leave the lease to those at lower ones.
 const POSITIONS_PER_INTERVAL: u64 = 2;
 
-/// How long nobody may be heard to hold the lease before the first gateway
-/// contends for it, in ms.
+/// How long the lease has to be without a known holder before the gateway at
+/// position 0 contends for it, in ms.
 const VACANT_MS: u64 = 100;
 
-/// How much longer each further gateway waits, in ms.
+/// How much longer the gateway at each further position waits, in ms.
 const VACANT_STEP_MS: u64 = 250;
 
-/// After how long without a renewal a holder gives up what others could
-/// hold, in ms.
+/// The time without a renewal after which a holder releases the lease if other
+/// gateways reach the store, in ms.
 const RELEASE_AFTER_MS: u64 = 1_500;
 
-/// The epochs of an era of the store begin at so many times its number: those
-/// that were given out in writes that are gone are not given out again.
+/// The number of epochs in each era of the store: the epochs of an era start
+/// at its number times this value. Epochs from writes that a restored store
+/// has lost are therefore not reused.
 const EPOCHS_PER_ERA: u64 = 1 << 20;
 
-/// What other gateways say.
+/// The state of the lease as other gateways report it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PeerLeaseState {
-    /// Whether another one is heard to hold the lease.
+    /// Whether another gateway is reported to hold the lease.
     pub(super) has_holder: bool,
-    /// Whether another one hears the store.
+    /// Whether another gateway reaches the store.
     pub(super) others_reach_store: bool,
-    /// This gateway's place among all, from 0.
+    /// The position of this gateway among all contenders, from 0.
     pub(super) position: usize,
 }
 
-/// A holder's word that it gave an epoch up.
+/// A report by a holder that it has released an epoch.
 #[derive(Debug, Clone, Copy)]
 struct ReleasedEpoch {
     epoch: u64,
-    /// From when on another's orders may come.
+    /// The earliest time of the next holder's orders.
     next_orders_from: Millis,
 }
 
-/// The store's clock, read at one moment.
+/// A reading of the store's clock.
 #[derive(Debug, Clone, Copy)]
 struct StoreClock {
     store_ms: u64,
@@ -101,7 +106,8 @@
 }
 
 impl StoreClock {
-    /// Returns the store's time at a local one, or a little less.
+    /// Returns the store's time at a local time, or slightly less: the store's
+    /// clock was read before the local one.
     fn store_time(self, local: Millis) -> u64 {
         match local >= self.read {
             true => self.store_ms + local.since(self.read),
@@ -109,60 +115,70 @@
         }
     }
 
-    /// Returns when it is a time of the store here, or a little later.
+    /// Returns the local time at a time of the store, or slightly more.
     fn local_time(self, store_ms: u64) -> Millis {
         self.read + store_ms.saturating_sub(self.store_ms)
     }
 }
 
-/// Who held the lease before this gateway takes it.
+/// The holder of the lease before this gateway takes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PreviousHolder {
-    /// Nobody.
+    /// No gateway has held the lease.
     NoHolder,
-    /// This process: it knows what it ordered.
+    /// This process, which knows its own orders.
     ThisProcess,
-    /// This gateway, by a write of which it had no answer or before it was
-    /// started: what was ordered then is not known.
+    /// This gateway, before its start or by a write without an answer. The
+    /// orders under that epoch are not known.
     EarlierProcess,
     /// Another gateway.
     OtherGateway,
 }
 
-/// This gateway's part in the lease.
+/// Contends for the lease, holds it and releases it, for one gateway.
 pub(super) struct LeaseManager {
     me: InstanceId,
-    /// When this process started.
+    /// The start of this process.
     started: Millis,
     keeper: LeaseKeeper,
     store: Arc<dyn FleetStore>,
     inputs: mpsc::UnboundedSender<Input>,
+    /// The minimum time between the orders of two holders, in ms.
     quiet_ms: u64,
+    /// Whether a call to the store about the lease is in flight.
     call_in_flight: bool,
+    /// The time of the last such call.
     called_at: Millis,
+    /// When the last successful renewal was sent.
     renewed_at: Millis,
+    /// The time since which no gateway is known to hold the lease.
     vacant_since: Option<Millis>,
     clock: Option<StoreClock>,
-    /// From when on the epoch that is held, or is being taken, allows orders.
+    /// The earliest time of orders in the epoch that is held or being taken.
     orders_from: Millis,
-    /// When an order was last sent, or may have been, since another gateway
+    /// The time of the last order, certain or possible, since another gateway
     /// held the lease.
     last_order: Option<Millis>,
     /// The last epoch that this process held.
     last_epoch: Option<u64>,
-    /// What is to be counted of loads that others ordered, once it is taken.
+    /// The loads ordered by earlier holders that this gateway has to count
+    /// once it has the lease.
     inherited_loads: Option<Inheritance>,
-    /// Loads that were ordered without an answer, which the row tells.
+    /// Loads whose orders were not answered. The row tells the next holder.
     lost_loads: LostLoads,
-    /// The row's version when its holder was heard last.
+    /// The highest version of the row that a holder has reported, and when
+    /// this gateway first received it.
     reported_version: Option<(u64, Millis)>,
-    /// The store's era, as far as the lease's calls say.
+    /// The latest era of the store that calls about the lease have shown.
     era: u64,
-    /// The row, where it is from before the store came back from a copy, and
-    /// since when it stands still.
+    /// The row of a restored store that was written in an earlier era, and the
+    /// time since which the row is unchanged.
     restored_row: Option<(Option<LeaseRow>, Millis)>,
+    /// The last epoch that a peer has released.
     peer_release: Option<ReleasedEpoch>,
+    /// The last epoch that this gateway has released.
     own_release: Option<ReleasedEpoch>,
+    /// The version of the row after the last successful write.
     version: u64,
 }
 
@@ -200,7 +216,7 @@
         }
     }
 
-    /// Returns the epoch if the lease is held.
+    /// Returns the epoch if this gateway holds the lease.
     pub(super) fn held_epoch(&self, now: Millis) -> Option<u64> {
         self.keeper.held_epoch(now)
     }
@@ -211,14 +227,16 @@
         (now >= self.orders_from).then_some(epoch)
     }
 
-    /// Returns the epoch if an order may be given, and notes that one is.
+    /// Returns the epoch if an order may be given, and records that one is
+    /// sent now.
     pub(super) fn take_order_epoch(&mut self, now: Millis) -> Option<u64> {
         let epoch = self.order_epoch(now)?;
         self.last_order = Some(now);
         Some(epoch)
     }
 
-    /// Returns what peers are told.
+    /// Returns what this gateway reports to peers: that it holds the lease or
+    /// has released it, or `None` if it has done neither.
     pub(super) fn claim(&self, now: Millis) -> Option<LeaseWord> {
         if let Some(epoch) = self.held_epoch(now) {
             let version = self.version;
@@ -230,7 +248,7 @@
         })
     }
 
-    /// Takes in what a peer says.
+    /// Handles a peer's report about the lease.
     pub(super) fn on_lease_report(
         &mut self,
         report: LeaseRumour,
@@ -238,7 +256,8 @@
     ) {
         match report.word {
             LeaseWord::Holds { version, .. } => {
-                // Later than it was said, so that its term counts whole.
+                // The time of receipt is later than that of the report, so
+                // the holder's whole term is waited for.
                 let previous =
                     self.reported_version.filter(|(v, _)| *v >= version);
                 self.reported_version = previous.or(Some((version, now)));
@@ -252,7 +271,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Performs the due step: releases, renews or tries to take the lease.
     pub(super) fn tick(&mut self, now: Millis, peers: PeerLeaseState) {
         if let Some(epoch) = self.held_epoch(now) {
             self.vacant_since = None;
@@ -284,6 +303,7 @@
         }
     }
 
+    /// Releases the lease by a report to peers, without a write to the store.
     fn release(&mut self, epoch: u64, now: Millis) {
         Event::LeaseGivenUp { epoch }.log();
         let next_orders_from = self.next_orders_from(now);
@@ -292,8 +312,8 @@
         self.vacant_since = Some(now);
     }
 
-    /// Returns from when on the next holder's orders may come, if this one
-    /// gives no more.
+    /// Returns the earliest time of the next holder's orders if this gateway
+    /// sends no more.
     fn next_orders_from(&self, now: Millis) -> Millis {
         let bound = self.quiet_ms + ORDER_TRANSIT_MS;
         let earliest = self.last_order.map_or(now, |ordered| ordered + bound);
@@ -321,7 +341,8 @@
         self.call_in_flight = true;
         self.called_at = write.sent;
         if let Some(clock) = self.clock {
-            // Until it is won, a lease that is taken tells what it told before.
+            // A write that takes the lease keeps the lost loads in the row
+            // until the write has succeeded.
             if !write.takes {
                 let LostLoads { count, until } = self.lost_loads;
                 write.row.lost_loads =
@@ -338,7 +359,8 @@
         });
     }
 
-    /// Takes in the row.
+    /// Handles the result of a read of the row, and takes the lease if the row
+    /// permits.
     pub(super) fn on_read(
         &mut self,
         read: Result<LeaseSight, PortError>,
@@ -348,7 +370,7 @@
         let sight = match read {
             Ok(sight) => sight,
             Err(error) => {
-                log::debug!("reading the lease: {error}");
+                log::debug!("cannot read the lease: {error}");
                 return;
             }
         };
@@ -362,7 +384,8 @@
             return;
         }
         let row = lease.row.clone();
-        // A row that stands as its holder told stands since then.
+        // A row at the version that its holder reported is unchanged since
+        // the receipt of that report.
         let since = match self.reported_version {
             Some((version, at)) if version == lease.version => at,
             _ => now,
@@ -373,14 +396,15 @@
         {
             self.orders_from = self.orders_allowed_from(row.as_ref(), now);
             let previous_holder = self.previous_holder(row.as_ref());
-            // What was not taken up of a term that was missed stays.
+            // Loads inherited for a term that was missed are kept until a
+            // term in which they are counted.
             if previous_holder != PreviousHolder::ThisProcess {
                 self.inherited_loads =
                     self.inherited_loads(previous_holder, row.as_ref());
             }
             self.last_order = match previous_holder {
                 PreviousHolder::ThisProcess => self.last_order,
-                // Its last order may have been sent when it ended.
+                // The earlier process may have sent an order until its end.
                 PreviousHolder::EarlierProcess => {
                     self.last_order.max(Some(self.started))
                 }
@@ -397,10 +421,11 @@
         }
     }
 
-    /// Notes the era of a version; tells whether it is the latest that is known.
+    /// Records the era of a version. Returns whether the version belongs to
+    /// the latest known era.
     ///
-    /// What was said of the lease in an earlier one says nothing of the row
-    /// that stands there now.
+    /// A new era discards reports about the lease in an earlier era, because
+    /// they do not apply to the current row.
     fn update_era(&mut self, version: u64) -> bool {
         let era = StoreVersion::of(version).era;
         if era > self.era {
@@ -411,10 +436,12 @@
         era == self.era
     }
 
-    /// Takes the lease of which the row is from before the store came back from
-    /// a copy, once whoever held it last, perhaps by a write that is gone,
-    /// holds it no longer. A row that goes on changing has a holder that knows
-    /// no eras: a gateway of an earlier version.
+    /// Takes the lease of a restored store whose row is from an earlier era.
+    ///
+    /// The last holder may have taken the lease by a write that the restored
+    /// store has lost, so the lease is taken only after the row has been
+    /// unchanged for a whole term. A row that keeps changing has a holder that
+    /// does not know eras: a gateway of an earlier version.
     fn take_restored_lease(&mut self, lease: VersionedLease, now: Millis) {
         let old_row = lease.row.clone();
         let previous =
@@ -443,7 +470,7 @@
         }
     }
 
-    /// Returns who held the lease before, by its row.
+    /// Returns the previous holder of the lease according to its row.
     fn previous_holder(&self, row: Option<&LeaseRow>) -> PreviousHolder {
         let Some(row) = row else { return PreviousHolder::NoHolder };
         let is_own = row.holder.as_ref() == Some(&self.me);
@@ -456,9 +483,9 @@
         }
     }
 
-    /// Returns what loads were ordered by others, if the lease is taken over
-    /// what the row says: their last orders arrive the quiet time before the
-    /// first ones of this holder.
+    /// Returns the loads that earlier holders ordered, for a lease taken with
+    /// the given row before. The last of their orders arrive at least the
+    /// quiet time before the first orders of this gateway.
     fn inherited_loads(
         &self,
         previous_holder: PreviousHolder,
@@ -482,18 +509,19 @@
         Some(Inheritance { until, lost })
     }
 
-    /// Returns what is to be counted of loads that others ordered, once.
+    /// Returns the loads of earlier holders that have to be counted, at the
+    /// first call after the lease was taken.
     pub(super) fn take_inherited_loads(&mut self) -> Option<Inheritance> {
         self.inherited_loads.take()
     }
 
-    /// Takes in which loads were ordered without an answer.
+    /// Sets the loads whose orders were not answered.
     pub(super) fn set_lost_loads(&mut self, lost: LostLoads) {
         self.lost_loads = lost;
     }
 
-    /// Returns from when on orders may be given, if the lease is taken over
-    /// what the row says.
+    /// Returns the earliest time of orders for a lease taken with the given
+    /// row before.
     fn orders_allowed_from(
         &self,
         row: Option<&LeaseRow>,
@@ -513,7 +541,7 @@
         }
     }
 
-    /// Takes in how a write ended.
+    /// Handles the result of a write.
     pub(super) fn on_write(
         &mut self,
         write: SentLeaseWrite,
@@ -531,14 +559,16 @@
                 let is_latest = self.update_era(version);
                 let holds = self.held_epoch(now).is_some() && !write.takes;
                 match holds && is_latest {
-                    // Nobody can have taken it while its term lasts.
+                    // No other gateway can have taken the lease during the
+                    // term of this one.
                     true => self.keeper.row_moved(version),
                     false => self.keeper.write_lost(write.takes),
                 }
             }
             Err(error) => {
-                log::debug!("writing the lease: {error}");
-                // It may have taken effect: the row tells.
+                log::debug!("cannot write the lease: {error}");
+                // The write may have taken effect. The next read of the row
+                // shows whether it has.
                 if write.takes {
                     self.keeper.write_lost(true);
                 }
@@ -560,7 +590,7 @@
             self.last_epoch = Some(write.row.epoch);
             self.own_release = None;
         } else if self.held_epoch(now).is_none() {
-            // Given up in the meantime.
+            // The lease was released while the write was in flight.
             return;
         }
         self.renewed_at = write.sent;
@@ -570,7 +600,8 @@
         self.keeper.write_won(lease, write.takes, write.sent, now);
     }
 
-    /// Gives the lease up, since this gateway leaves.
+    /// Hands the lease back with a write to the store, because this gateway is
+    /// leaving.
     pub(super) fn step_down(&mut self, now: Millis) {
         let next_orders_from = self.next_orders_from(now);
         if let Some(epoch) = self.held_epoch(now) {
@@ -585,8 +616,8 @@
     }
 }
 
-/// Returns from when on orders may be given after another holder's term is
-/// over.
+/// Returns the earliest time of orders after the whole term of another holder
+/// has passed. That holder stopped a margin before the end of its term.
 fn first_orders_after(now: Millis, quiet_ms: u64) -> Millis {
     now + quiet_ms + ORDER_TRANSIT_MS - TERMS.margin_ms
 }
--- a/crates/valehold-gateway/src/control/lease/tests.rs
+++ b/crates/valehold-gateway/src/control/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Who may give orders when, as gateways take the lease one after the other.
+//! Tests of when gateways may give orders as they take the lease in turn.
 
 use std::sync::{
     Arc, Mutex,
@@ -32,30 +32,30 @@
 use super::{LeaseManager, PeerLeaseState};
 use crate::control::input::Input;
 
-/// How long no one may give orders between two holders, in ms.
+/// The minimum time between the orders of two holders, in ms.
 const QUIET_MS: u64 = 3_000;
 
-/// How long after its start a gateway asks for the lease, in ms.
+/// How long after its start a gateway first contends for the lease, in ms.
 const SETTLED_MS: u64 = 1_000;
 
-/// Hears of no holder, and need not wait for others.
+/// No other gateway holds the lease or contends for it.
 const ALONE: PeerLeaseState = PeerLeaseState {
     has_holder: false,
     others_reach_store: true,
     position: 0,
 };
 
-/// Loads without an answer.
+/// Seven loads whose orders were not answered.
 const SEVEN_LOST_LOADS: LostLoads =
     LostLoads { count: 7, until: Millis::new(19_000) };
 
-/// A store of one row.
+/// A store that contains only the row of the lease.
 struct RowStore {
     lease: Mutex<VersionedLease>,
     clock_ms: AtomicU64,
-    /// How often it came back from a copy.
+    /// How often the store was restored from a copy.
     era: AtomicU64,
-    /// Whether the row is from before that.
+    /// Whether the row is from before the last restore.
     is_restored: AtomicBool,
 }
 
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Comes back from a copy.
+    /// Restores the store from a copy.
     fn restore_from(&self, copy: &VersionedLease) {
         let era = self.era.fetch_add(1, Ordering::SeqCst) + 1;
         let version = StoreVersion { era, version: 0 }.rising();
@@ -146,7 +146,7 @@
     async { Err(PortError::malformed("not asked for here")) }.boxed()
 }
 
-/// A gateway's part in the lease.
+/// A gateway that contends for the lease.
 struct Member {
     manager: LeaseManager,
     inputs: mpsc::UnboundedReceiver<Input>,
@@ -154,7 +154,7 @@
 }
 
 impl Member {
-    /// Starts one, as a process of its own.
+    /// Starts a gateway as a new process.
     fn start(store: &Arc<RowStore>, name: &str, now: u64) -> Self {
         let (sender, inputs) = mpsc::unbounded_channel();
         let me = InstanceId::new(name);
@@ -163,7 +163,7 @@
         Self { manager, inputs, store: store.clone() }
     }
 
-    /// Lets it act at a moment, until its calls are over.
+    /// Performs the steps due at a moment and waits until their calls end.
     async fn act(&mut self, now: u64) {
         self.store.clock_ms.store(now, Ordering::SeqCst);
         let now = at(now);
@@ -171,6 +171,7 @@
         self.process_inputs(now).await;
     }
 
+    /// Processes the results of calls until none is left.
     async fn process_inputs(&mut self, now: Millis) {
         tokio::task::yield_now().await;
         while let Ok(input) = self.inputs.try_recv() {
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Lets it act often until a moment.
+    /// Performs due steps every 50 ms.
     async fn act_from(&mut self, from: u64, until: u64) {
         for now in (from..until).step_by(50) {
             self.act(now).await;
@@ -198,7 +199,7 @@
         self.process_inputs(at(now)).await;
     }
 
-    /// Gives an order if it may.
+    /// Gives an order if that is allowed, and returns whether it was.
     fn order(&mut self, now: u64) -> bool {
         self.manager.take_order_epoch(at(now)).is_some()
     }
@@ -208,13 +209,13 @@
     Millis::new(ms)
 }
 
-/// A holder gave an order, was killed, took its own lease back and stopped at
-/// once. The next one was told that no orders had been given, and could give
-/// its own 2 s after the first, where 3 s have to pass: engines that do not
-/// check fences followed two holders at a time.
+/// A holder gives an order, is killed, takes its lease back after a restart
+/// and steps down at once. The next holder once learned that no orders had
+/// been given, and gave its own 2 s after the first one instead of 3 s.
+/// Engines do not check fences, so they followed two holders at the same time.
 #[gtest]
 #[tokio::test(flavor = "current_thread")]
-async fn a_holder_that_started_again_keeps_the_next_one_quiet() {
+async fn the_next_holder_waits_for_orders_from_before_a_restart() {
     let steps = async {
         let store = RowStore::new();
         let mut first = Member::start(&store, "g1", 0);
@@ -235,11 +236,12 @@
     LocalSet::new().run_until(steps).await;
 }
 
-/// The same where the holder only lost its term for a moment, as on a machine
-/// that gets little of its processor.
+/// A holder misses the renewal of its term for a moment, as on a machine with
+/// little processor time, takes the lease again and steps down. The next
+/// holder has to wait for the order from before the missed term.
 #[gtest]
 #[tokio::test(flavor = "current_thread")]
-async fn a_holder_that_lost_its_term_keeps_the_next_one_quiet() {
+async fn the_next_holder_waits_for_orders_from_before_a_missed_term() {
     let steps = async {
         let store = RowStore::new();
         let mut holder = Member::start(&store, "g1", 0);
@@ -257,7 +259,7 @@
     LocalSet::new().run_until(steps).await;
 }
 
-/// Lets a gateway take the lease, and returns what it counts of others' loads.
+/// Lets a gateway take the lease, and returns the loads that it inherits.
 async fn inherited_loads(
     member: &mut Member,
     from: u64,
@@ -267,17 +269,17 @@
     member.manager.take_inherited_loads()
 }
 
-/// Checks that the row told of [`SEVEN`].
+/// Checks that the row passed on [`SEVEN_LOST_LOADS`].
 fn expect_seven_lost_loads(lost: LostLoads) {
     expect_that!(lost.count, eq(7));
-    // Told on the store's clock, which is read a little late at the most.
+    // The time went through the store's clock, which is read slightly late.
     expect_that!(lost.until, ge(SEVEN_LOST_LOADS.until));
     expect_that!(lost.until, le(SEVEN_LOST_LOADS.until + 500));
 }
 
 #[gtest]
 #[tokio::test(flavor = "current_thread")]
-async fn nothing_is_inherited_of_nobody() {
+async fn the_first_holder_inherits_no_loads() {
     let steps = async {
         let mut first = Member::start(&RowStore::new(), "g1", 0);
         expect_that!(inherited_loads(&mut first, SETTLED_MS).await, none());
@@ -287,7 +289,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "current_thread")]
-async fn a_process_that_lost_its_term_knows_what_it_ordered() {
+async fn a_process_that_missed_its_term_inherits_no_loads() {
     let steps = async {
         let mut holder = Member::start(&RowStore::new(), "g1", 0);
         inherited_loads(&mut holder, SETTLED_MS).await;
@@ -300,7 +302,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "current_thread")]
-async fn a_process_that_started_again_inherits_until_its_start() {
+async fn a_restarted_process_inherits_loads_until_its_start() {
     let steps = async {
         let store = RowStore::new();
         let mut first = Member::start(&store, "g1", 0);
@@ -320,7 +322,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "current_thread")]
-async fn the_next_holder_inherits_until_the_last_ones_orders_arrived() {
+async fn the_next_holder_inherits_loads_until_earlier_orders_arrived() {
     let steps = async {
         let store = RowStore::new();
         let mut first = Member::start(&store, "g1", 0);
@@ -338,12 +340,12 @@
     LocalSet::new().run_until(steps).await;
 }
 
-/// The answer to the write that takes the lease comes when its term is over, as
-/// on a machine that gets little of its processor. What the last holder began
-/// is still to be counted when the lease is taken back.
+/// The answer to the write that takes the lease arrives after the end of the
+/// term, as on a machine with little processor time. The loads that the last
+/// holder started still have to be counted when the lease is taken again.
 #[gtest]
 #[tokio::test(flavor = "current_thread")]
-async fn what_is_inherited_outlasts_a_term_that_was_missed() {
+async fn inherited_loads_are_kept_after_a_missed_term() {
     let steps = async {
         let store = RowStore::new();
         let mut first = Member::start(&store, "g1", 0);
@@ -356,7 +358,7 @@
         next.manager.tick(at(6_300), ALONE);
         tokio::task::yield_now().await;
         let Ok(Input::LeaseRead(read)) = next.inputs.try_recv() else {
-            panic!("the row was to be read")
+            panic!("the lease was not read")
         };
         next.manager.on_read(read, at(6_300));
         next.process_inputs(at(20_000)).await;
@@ -367,11 +369,11 @@
     LocalSet::new().run_until(steps).await;
 }
 
-/// Who holds the lease when the store comes back from a copy goes on, and no
-/// other takes it.
+/// The holder keeps the lease when the store is restored from a copy without
+/// its row, and no other gateway takes the lease.
 #[gtest]
 #[tokio::test(flavor = "current_thread")]
-async fn a_holder_goes_on_though_its_row_is_gone() {
+async fn a_holder_keeps_the_lease_when_a_restored_store_lacks_its_row() {
     let steps = async {
         let store = RowStore::new();
         let empty_copy = store.copy();
@@ -395,12 +397,13 @@
     LocalSet::new().run_until(steps).await;
 }
 
-/// A copy names the first holder; the second one took the lease after that, and
-/// is gone. The first has waited for it to be over, like any other, and has an
-/// epoch that nobody had.
+/// The copy names the first holder. The second one took the lease after the
+/// copy was made, and is gone. The first gateway has to wait for the end of
+/// the second one's term, like any other, and gets an epoch that was never
+/// used.
 #[gtest]
 #[tokio::test(flavor = "current_thread")]
-async fn an_epoch_that_the_copy_does_not_have_is_not_given_out_again() {
+async fn an_epoch_missing_in_a_restored_store_is_not_reused() {
     let steps = async {
         let store = RowStore::new();
         let mut first = Member::start(&store, "g1", 0);
@@ -421,11 +424,11 @@
                 expect_that!(epoch, gt(lost_epoch));
             }
         }
-        // The second could have given orders until its term was over.
+        // The second holder could have given orders until the end of its term.
         let term_end = 14_000 + 3_000;
         expect_that!(earliest, some(ge(term_end + QUIET_MS)));
         expect_that!(earliest, some(le(24_000)));
-        // The next one has a later epoch again.
+        // The next holder has a later epoch again.
         let held = first.manager.held_epoch(at(29_950)).unwrap();
         drop(first);
         let mut third = Member::start(&store, "g3", 30_000);
@@ -435,11 +438,11 @@
     LocalSet::new().run_until(steps).await;
 }
 
-/// Gateways of an earlier version renew the row that they know, whatever era
-/// the store names.
+/// Gateways of an earlier version renew the row without regard to the era of
+/// the store.
 #[gtest]
 #[tokio::test(flavor = "current_thread")]
-async fn a_row_of_an_earlier_era_that_goes_on_changing_is_held() {
+async fn a_lease_whose_row_of_an_earlier_era_keeps_changing_is_not_taken() {
     let steps = async {
         let store = RowStore::new();
         let mut earlier = Member::start(&store, "g1", 0);
