--- a/crates/valehold-gateway/src/control/placer/adapters.rs
+++ b/crates/valehold-gateway/src/control/placer/adapters.rs
@@ -1,7 +1,7 @@
-//! Bringing adapters to engines that hold their models.
+//! Placement of adapters on engines that hold their models.
 //!
-//! What is done for an adapter costs as much as engines hold its model,
-//! whatever other engines there are.
+//! The cost of placing an adapter grows with the number of engines that hold
+//! its model, not with the number of all engines.
 
 use std::collections::BTreeMap;
 
@@ -21,32 +21,35 @@
 use super::Placer;
 use crate::{control::entry::EngineEntry, peers::roster::sums::DemandSum};
 
-/// How many orders about adapters are under way at once while places are
-/// filled.
+/// The number of pending adapter loads at which no further adapters are
+/// preloaded.
 const MAX_PENDING_ADAPTER_LOADS: usize = 3;
 
-/// How long a wish stays without being repeated, in ms.
+/// How long a load request is kept after it was last made, in ms.
 const REQUEST_LIFETIME_MS: u64 = 1_000;
 
-/// How often a way is looked for to do what a request wishes, in ms: until an
-/// order has ended or demand has changed there is no other.
+/// The minimum interval between two attempts to place the adapter of one load
+/// request, in ms. An earlier attempt has the same result unless an order has
+/// ended or demand has changed in between.
 const REQUEST_RETRY_INTERVAL_MS: u64 = 50;
 
-/// How often adapters are looked for that no engine holds, in ms. What a
-/// request asks for does not wait for that.
+/// The minimum interval between the starts of two scans for adapters that no
+/// engine holds, in ms. Load requests are served independently of the scans.
 const PRELOAD_SCAN_INTERVAL_MS: u64 = 1_000;
 
-/// A request's wish for a variant.
+/// A load request: requests of callers wait for a variant that has to be
+/// loaded.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct LoadRequest {
-    /// When it was made last.
+    /// When the load request was last made.
     pub(super) last_made: Millis,
-    /// When a way was looked for last.
+    /// When placing the variant was last attempted.
     last_tried: Option<Millis>,
 }
 
 impl LoadRequest {
-    /// Tells whether a way is to be looked for, and notes that one is.
+    /// Returns whether another attempt to place the variant is due, and if so
+    /// records the attempt.
     fn is_due(&mut self, now: Millis) -> bool {
         let is_due = self
             .last_tried
@@ -58,18 +61,19 @@
     }
 }
 
-/// How far a look for adapters that no engine holds has come.
+/// The progress of a scan for adapters that no engine holds.
 #[derive(Debug, Default)]
 pub(super) struct PreloadScan {
-    /// The models that are still to be looked at, those last that are asked
-    /// for the most.
+    /// The models that are still to be scanned, in ascending order of their
+    /// request rates: the scan takes models from the end.
     remaining: Vec<ModelName>,
-    /// When it began.
+    /// When the scan started.
     started_at: Option<Millis>,
 }
 
 impl PreloadScan {
-    /// Begins anew, if all models were looked at and it is time again.
+    /// Starts the next scan if the last one has ended and its interval has
+    /// passed.
     fn start_if_due(
         &mut self,
         spec: &EngineSpec,
@@ -98,6 +102,8 @@
 }
 
 impl Placer {
+    /// Attempts to place the adapters of all load requests for which an
+    /// attempt is due.
     pub(super) fn place_requested_adapters(
         &mut self,
         now: Millis,
@@ -121,6 +127,8 @@
         }
     }
 
+    /// Loads the adapter of a load request, or unloads another adapter to make
+    /// room. Removes the load request if the adapter is already served.
     fn place_requested_adapter(
         &mut self,
         now: Millis,
@@ -149,8 +157,8 @@
         }
     }
 
-    /// Fills free places with adapters that no engine holds, so that they
-    /// are there when they are asked for.
+    /// Preloads adapters that no engine holds into free places, so that later
+    /// requests for them need not wait for a load.
     pub(super) fn preload_adapters(
         &mut self,
         now: Millis,
@@ -177,8 +185,8 @@
         self.preload_scans.insert(service.clone(), scan);
     }
 
-    /// Brings one of a model's adapters that no engine holds; tells whether
-    /// there was one, and an engine with room for it.
+    /// Loads one of a model's adapters that no engine holds. Returns `false`
+    /// if there is no such adapter or no engine with room for one.
     fn preload_one_adapter(
         &mut self,
         now: Millis,
@@ -206,8 +214,8 @@
         true
     }
 
-    /// Tells whether a sound engine inside a bound takes requests for a
-    /// variant.
+    /// Returns whether an available engine inside a bound accepts requests for
+    /// a variant.
     fn is_served(
         &self,
         service: &ServiceName,
@@ -218,9 +226,8 @@
         holders.any(|(_, entry)| entry.is_available() && entry.serves(variant))
     }
 
-    /// Returns the engines inside a bound that hold a model and take an order
-    /// about an adapter now: one that carries an order about a model out does
-    /// not.
+    /// Returns the engines inside a bound that hold a model and can get an
+    /// order for an adapter now. Engines that execute a model order cannot.
     fn hosts(
         &self,
         now: Millis,
@@ -258,6 +265,7 @@
     }
 }
 
+/// Returns the usage of a variant, over all bounds.
 fn usage_of(demand: &DemandSum, variant: &Variant) -> AdapterUse {
     let mut usage = AdapterUse::default();
     for one in demand.values().filter_map(|variants| variants.get(variant)) {
--- a/crates/valehold-gateway/src/control/placer/holders.rs
+++ b/crates/valehold-gateway/src/control/placer/holders.rs
@@ -1,4 +1,5 @@
-//! Which engines hold which model, found without a walk over all engines.
+//! An index of the engines that hold each model, which saves scans of all
+//! engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,11 +10,15 @@
 
 use crate::control::entry::EngineEntry;
 
-/// How often engines are forgotten that gave a model up, in ms.
+/// The interval at which the index is rebuilt without engines that have
+/// unloaded a model, in ms.
 const REBUILD_EVERY_MS: u64 = 5_000;
 
-/// The engines that hold each model, and some that did lately: whoever looks
-/// asks each engine's entry.
+/// An index from models to engines.
+///
+/// Besides the engines that hold a model, the index may contain engines that
+/// have unloaded the model since the last rebuild. Callers check the entry of
+/// each engine.
 #[derive(Debug, Default)]
 pub(super) struct ModelHolders {
     engines: BTreeMap<ModelName, BTreeSet<UpstreamId>>,
@@ -21,7 +26,7 @@
 }
 
 impl ModelHolders {
-    /// Notes what an engine holds.
+    /// Records the models on an engine.
     pub(super) fn record(&mut self, id: &UpstreamId, entry: &EngineEntry) {
         for model in entry.holding.models.keys() {
             let engines = self.engines.entry(model.clone()).or_default();
@@ -31,7 +36,7 @@
         }
     }
 
-    /// Returns the engines that hold a model.
+    /// Returns the engines that hold a model or held the model recently.
     pub(super) fn engines_with(
         &self,
         model: &ModelName,
@@ -39,7 +44,8 @@
         self.engines.get(model).into_iter().flatten()
     }
 
-    /// Forgets, now and then, engines that do not hold a model any more.
+    /// Rebuilds the index if the interval has passed, which removes engines
+    /// that have unloaded a model.
     pub(super) fn rebuild_if_due(
         &mut self,
         entries: &BTreeMap<UpstreamId, EngineEntry>,
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -1,14 +1,15 @@
-//! Giving engines the orders that placement decides.
+//! Placement of models and adapters on engines, by orders to the engines.
 //!
-//! Every order states how many orders its engine must have taken before. A
-//! decision is made on what an engine holds after so many orders, and is
-//! carried out only if that still is so: an order that arrives late, or that
-//! another holder's has overtaken, does nothing.
+//! Every order states how many orders its engine must have accepted before. A
+//! decision rests on the engine's holding after that number of orders, and the
+//! engine executes the order only if the number still matches. An order that
+//! arrives late, or that an order of another holder has overtaken, has no
+//! effect.
 //!
 //! - `models` plans which engine loads and unloads which model.
-//! - `adapters` brings adapters.
+//! - `adapters` places adapters.
 //! - `holders` finds the engines that hold a model.
-//! - `orders` gives the orders, and takes in how they ended.
+//! - `orders` sends the orders and processes their results.
 
 mod adapters;
 mod holders;
@@ -58,75 +59,80 @@
     peers::roster::sums::{DemandSum, Loads},
 };
 
-/// How often the plan is made, in ms.
+/// The minimum interval between two plans for models, in ms.
 const PLAN_EVERY_MS: u64 = 250;
 
-/// How many engines are asked at once at the most. Each question holds a
-/// connection, and a machine has a bounded number of those, however many
-/// engines there are.
+/// The maximum number of engines that are polled at the same time. Each poll
+/// holds a connection, and the number of connections of a machine is limited,
+/// however many engines there are.
 const MAX_POLLS_IN_FLIGHT: usize = 256;
 
-/// How long an engine is left alone after an order failed, in ms.
+/// How long an engine gets no further calls after a poll or an order without
+/// an answer, in ms.
 const FAILURE_BACKOFF_MS: u64 = 200;
 
-/// After how many reports in a row from before an order its effect is taken
-/// for what they say. Reports lag by less than so many questions take.
+/// The number of consecutive reports older than the entry after which the next
+/// report is applied nonetheless. Reports lag by less than the time that so
+/// many polls take, so the entry is wrong by then.
 const MAX_STALE_REPORTS: u32 = 6;
 
-/// Loads from the weight store, for metrics.
+/// Counts of loads from the weight store, for metrics.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LoadCount {
-    /// Those that began in the last window, or may begin.
+    /// The loads that started in the last window or may still start.
     pub(super) counted: usize,
-    /// How many may begin in a window.
+    /// The number of loads that may start in a window.
     pub(super) allowed: usize,
 }
 
-/// What the lease allows an order to carry.
+/// The lease data that orders carry.
 #[derive(Clone)]
 pub(super) struct Authority {
-    /// The holder.
+    /// The holder of the lease: this gateway.
     pub(super) holder: InstanceId,
-    /// Returns the epoch, if an order may be given at this moment, and notes
-    /// that one is.
+    /// Returns the epoch if an order may be sent at this moment, and records
+    /// that an order is sent.
     pub(super) epoch: Rc<dyn Fn() -> Option<u64>>,
 }
 
-/// For each bound, the models that are missed inside it, and since when.
+/// For each bound, the models that are missing inside the bound, and since
+/// when.
 type MissingModels = BTreeMap<RegionBound, BTreeMap<ModelName, Millis>>;
 
-/// Gives orders to engines.
+/// Places models and adapters on engines while this gateway holds the lease.
 pub(super) struct Placer {
     engines: Arc<dyn FleetEngines>,
     inputs: mpsc::UnboundedSender<Input>,
     authority: Authority,
     entries: BTreeMap<UpstreamId, EngineEntry>,
     holders: ModelHolders,
-    /// How many engines are being asked.
+    /// The number of engines that are being polled.
     polls_in_flight: usize,
-    /// Data centres that are to be empty.
+    /// Data centres that operators evacuate.
     evacuated: BTreeSet<DataCentreId>,
     load_requests: BTreeMap<Asked, LoadRequest>,
     preload_scans: BTreeMap<ServiceName, PreloadScan>,
-    /// Models of each service that no sound engine holds, or none inside a
-    /// bound in which they are used, and since when.
+    /// The models of each service that no available engine serves, or no
+    /// available engine inside a bound in which the model is used, and since
+    /// when.
     missing: BTreeMap<ServiceName, MissingModels>,
-    /// Which models are used inside which bounds.
+    /// The models that are used inside each bound.
     bound_usage: BoundUse,
-    /// Adapters about which orders are under way.
+    /// Adapters with a load order in flight.
     pending_adapter_orders: BTreeSet<Variant>,
-    /// When models were planned last.
+    /// When models were last planned.
     planned_at: Millis,
     weight_loads: WeightLoads,
-    /// Whether the weight store bore no more loads when it was planned last.
+    /// Whether the last plan found that no more loads from the weight store
+    /// may start.
     loads_exhausted: bool,
-    /// Which service plans first the next time.
+    /// The index of the service that is planned first in the next plan.
     next_service_index: usize,
     peaks: BTreeMap<ServiceName, BTreeMap<RegionBound, Peaks>>,
     topology: Topology,
     load_window_s: f64,
     mechanisms: MechanismSettings,
-    /// The last stamp that was given.
+    /// The last stamp of an advertised holding.
     stamp: Stamp,
 }
 
@@ -164,8 +170,8 @@
         }
     }
 
-    /// Takes in which data centres are to be empty: engines in them count as
-    /// gone, so that what they hold comes up elsewhere.
+    /// Updates the evacuated data centres. Engines in an evacuated data centre
+    /// count as unavailable, so that their models are loaded elsewhere.
     pub(super) fn evacuate(&mut self, evacuations: &EvacuationState) {
         self.evacuated = evacuations.ordered().cloned().collect();
         for entry in self.entries.values_mut() {
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Takes in the upstreams.
+    /// Applies a whole list of upstreams.
     pub(super) fn replace_listing(&mut self, listing: &Listing) {
         let entries = &mut self.entries;
         entries.retain(|id, _| listing.upstreams.contains_key(id));
@@ -190,7 +196,7 @@
         self.holders.record(&upstream.id, entry);
     }
 
-    /// Takes in what changed of some upstreams.
+    /// Applies the changes of some upstreams in the list.
     pub(super) fn apply_listing_changes(
         &mut self,
         changed: &BTreeSet<UpstreamId>,
@@ -205,19 +211,22 @@
         }
     }
 
-    /// Takes in that a request waits for a variant inside its bound.
+    /// Handles a load request: a request of a caller waits for a variant
+    /// inside a bound.
     pub(super) fn on_load_request(&mut self, asked: Asked, now: Millis) {
         let Asked { bound, variant } = &asked;
         self.bound_usage.note(bound, &variant.model, now);
         let topology = &self.topology;
-        // Who wishes for what is there has not been told.
+        // A load request for a variant that an engine already serves means
+        // that the requesting gateway has missed the advertisement.
         for id in self.holders.engines_with(&variant.model) {
             let Some(entry) = self.entries.get_mut(id) else { continue };
             let is_inside =
                 bound.allows(topology.region_of(&entry.data_centre));
             if is_inside && entry.serves(variant) && !entry.needs_report {
                 entry.advertised_since = Some(now);
-                // It may be gone, too: whoever wishes did not reach it.
+                // The requesting gateway may also have failed to reach the
+                // engine, which may be gone.
                 entry.needs_report =
                     now.since(entry.polled_at) >= POLL_INTERVAL_MS;
             }
@@ -226,7 +235,7 @@
         request.last_made = now;
     }
 
-    /// Begins an epoch, with what others ordered before.
+    /// Begins a lease epoch, with the loads that earlier holders ordered.
     pub(super) fn begin_epoch(
         &mut self,
         epoch: u64,
@@ -245,13 +254,13 @@
         }
     }
 
-    /// Returns the loads that were ordered without an answer and may begin
-    /// yet.
+    /// Returns the loads whose orders were not answered and that may still
+    /// start.
     pub(super) fn lost_loads(&mut self, now: Millis) -> LostLoads {
         self.weight_loads.lost(now)
     }
 
-    /// Returns what engines hold since the last orders.
+    /// Returns the recently changed holdings of engines, for peers.
     pub(super) fn holdings_to_advertise(
         &self,
         now: Millis,
@@ -259,7 +268,8 @@
         self.holdings_where(|_, entry| entry.needs_advertising(now))
     }
 
-    /// Returns those of the news that were not told yet.
+    /// Returns the recently changed holdings that `peers_known` does not
+    /// contain.
     pub(super) fn holdings_unknown_to(
         &self,
         peers_known: &KnownUpstreams,
@@ -272,12 +282,14 @@
         self.holdings_where(is_due)
     }
 
-    /// Returns what engines take requests for that give a model up: their
-    /// own word in the list says otherwise until they have.
+    /// Returns the usable holdings of engines that are unloading a model. The
+    /// list of upstreams still contains the model until the unload is
+    /// complete.
     pub(super) fn unloading_holdings(&self) -> Vec<EngineHolding> {
         self.holdings_where(|_, entry| entry.unloading.is_some())
     }
 
+    /// Returns the usable holdings of the engines that satisfy a predicate.
     fn holdings_where(
         &self,
         predicate: impl Fn(&UpstreamId, &EngineEntry) -> bool,
@@ -293,8 +305,9 @@
         holdings.collect()
     }
 
-    /// Takes in which engines asked this gateway for rest, or take a limited
-    /// number of requests: questions and orders would be some of them.
+    /// Updates which engines asked this gateway to back off or accept a
+    /// limited number of requests. Polls and orders would count as such
+    /// requests.
     pub(super) fn update_restrictions(
         &mut self,
         rests: &Rests,
@@ -307,7 +320,8 @@
         }
     }
 
-    /// Does what is due for one service while orders may be given.
+    /// Performs the due work for one service while orders may be given, except
+    /// for the plan of its models.
     pub(super) fn tick(
         &mut self,
         now: Millis,
@@ -327,8 +341,8 @@
         }
     }
 
-    /// Plans the models of all services, if that is due, and returns how many
-    /// loads from the weight store count.
+    /// Plans the models of all services if a plan is due, and returns the
+    /// count of loads from the weight store.
     pub(super) fn plan_if_due(
         &mut self,
         now: Millis,
@@ -347,7 +361,7 @@
         Some(LoadCount { counted, allowed: rate.in_window() })
     }
 
-    /// Notes which models are used inside bounds.
+    /// Records which models are used inside bounds.
     fn record_bound_usage(&mut self, demand: &DemandSum, now: Millis) {
         for (bound, variants) in demand {
             for variant in variants.keys() {
@@ -357,13 +371,14 @@
         self.bound_usage.pass(now);
     }
 
-    /// Tells whether an engine is inside a bound.
+    /// Returns whether an engine is inside a bound.
     fn is_inside(&self, bound: &RegionBound, entry: &EngineEntry) -> bool {
         bound.allows(self.topology.region_of(&entry.data_centre))
     }
 
-    /// Asks engines of which a report is needed, those first that answered
-    /// lately and were left alone the longest.
+    /// Polls engines whose report is needed, as far as the number of polls in
+    /// flight permits. Engines without failed polls come first, and among
+    /// equals those that were polled the longest ago.
     fn poll_due_engines(&mut self, service: &ServiceName, now: Millis) {
         let free = MAX_POLLS_IN_FLIGHT.saturating_sub(self.polls_in_flight);
         if free == 0 {
@@ -398,7 +413,8 @@
         });
     }
 
-    /// Takes in an engine's report, which one of its starts was asked for.
+    /// Handles the result of a poll, which was sent to the given start of an
+    /// engine.
     pub(super) fn on_report(
         &mut self,
         start: &UpstreamStart,
@@ -408,14 +424,14 @@
         self.polls_in_flight = self.polls_in_flight.saturating_sub(1);
         let Some(entry) = self.entries.get_mut(&start.id) else { return };
         if entry.start != *start {
-            // An earlier start was asked.
+            // The poll was sent to another start of the engine.
             return;
         }
         entry.call_in_flight = false;
         let report = match report {
             Ok(report) => report,
             Err(error) => {
-                log::debug!("{} did not report: {error}", start.id);
+                log::debug!("no report from engine {}: {error}", start.id);
                 entry.failures += 1;
                 entry.backoff_until = now + FAILURE_BACKOFF_MS;
                 return;
@@ -433,13 +449,14 @@
         let is_stale = !entry.is_current_start(report.birth)
             || report.holding.sequence < entry.holding.sequence;
         if is_stale && entry.stale_reports < MAX_STALE_REPORTS {
-            // It is from before the last order.
+            // The report may be older than the last order.
             entry.stale_reports += 1;
             entry.backoff_until = now + POLL_INTERVAL_MS / 4;
             return;
         }
         if !entry.is_current_start(report.birth) {
-            // Its clock went back.
+            // Reports keep stating an earlier start: the engine was restarted
+            // after its clock had been set back.
             entry.restart(report.birth);
             entry.mark_changed(now, &mut self.stamp);
         }
--- a/crates/valehold-gateway/src/control/placer/models.rs
+++ b/crates/valehold-gateway/src/control/placer/models.rs
@@ -1,4 +1,4 @@
-//! Planning which engine loads and unloads which model.
+//! Plans of which engine loads and unloads which model.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,8 +28,9 @@
 };
 
 impl Placer {
-    /// Notes which models of a service no sound engine holds, or none inside
-    /// a bound in which they are used.
+    /// Updates the missing models of a service: models that no available
+    /// engine serves, or no available engine inside a bound in which the model
+    /// is used.
     fn update_missing_models(
         &mut self,
         now: Millis,
@@ -55,8 +56,8 @@
         self.missing.insert(service.clone(), missing);
     }
 
-    /// Returns those models that no sound engine inside a bound takes
-    /// requests for.
+    /// Returns the models for which no available engine inside a bound accepts
+    /// requests.
     fn missing_models<'a>(
         &self,
         service: &ServiceName,
@@ -74,8 +75,11 @@
         models.filter(|model| !served.contains(model)).collect()
     }
 
-    /// Plans the models of all services. They share what the weight store
-    /// bears, and take turns at the larger part of it.
+    /// Plans the models of all services.
+    ///
+    /// The services share the loads that the weight store permits. Shares are
+    /// rounded up in the order of planning, so the services take turns to be
+    /// planned first.
     pub(super) fn plan_models(
         &mut self,
         now: Millis,
@@ -98,6 +102,8 @@
         }
     }
 
+    /// Plans the models of one service and sends the resulting orders, with at
+    /// most `allowed` loads from the weight store.
     fn place_models(
         &mut self,
         now: Millis,
@@ -156,7 +162,8 @@
         }
     }
 
-    /// Returns what the models need, everywhere and inside bounds.
+    /// Returns the needs of the models of a service, in total and inside each
+    /// bound.
     fn needs(
         &mut self,
         now: Millis,
@@ -181,7 +188,8 @@
             if self.mechanisms.busy_models_kept {
                 let mut replicas =
                     replicas_inside(states, bound, &self.topology);
-                // Inside a bound, only what is used there is looked after.
+                // Inside a bound, peak demand concerns only the models that
+                // are used there.
                 replicas.retain(|model, _| {
                     *bound == anywhere || needs.contains_key(model)
                 });
@@ -192,7 +200,8 @@
         needs
     }
 
-    /// Returns what the weight store bears, if any service has engines.
+    /// Returns the rate of loads that the weight store permits, or `None` if
+    /// no service has engines.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub(super) fn load_rate(&self, catalog: &Catalog) -> Option<LoadRate> {
         let window_ms = (self.load_window_s * 1_000.0) as u64;
@@ -200,7 +209,8 @@
         Some(LoadRate { per_second, window_ms })
     }
 
-    /// Logs that no more loads may begin for now, once.
+    /// Logs an event when the permitted loads from the weight store become
+    /// exhausted.
     pub(super) fn log_loads_exhausted(&mut self, now: Millis, rate: LoadRate) {
         let is_exhausted = self.weight_loads.left(rate, now) == 0;
         let was_exhausted =
@@ -232,19 +242,20 @@
     replicas
 }
 
-/// Logs what each model needs and has.
+/// Logs the needs of each model and its number of replicas.
 fn log_needs(needs: &ModelNeeds, engines: &[EngineState]) {
     for (model, need) in needs {
         let holds = |e: &&EngineState| e.holding.models.contains_key(model);
         let replicas = engines.iter().filter(holds).count();
         let ModelNeed { busy, adapters, .. } = need;
         log::debug!(
-            "{model}: busy {busy:.2}, {adapters:.1} adapters, {replicas}"
+            "model {model}: {busy:.2} busy engines, \
+             {adapters:.1} adapters in use, {replicas} replicas"
         );
     }
 }
 
-/// Returns how many requests are under way at one start of an engine.
+/// Returns the number of running requests at one start of an engine.
 fn running_requests(loads: &Loads, start: &UpstreamStart) -> f64 {
     loads.get(&start.tag()).map_or(0.0, |load| f64::from(load.running))
 }
--- a/crates/valehold-gateway/src/control/placer/orders.rs
+++ b/crates/valehold-gateway/src/control/placer/orders.rs
@@ -1,4 +1,4 @@
-//! Giving orders, and taking in how they ended.
+//! Sending of orders and processing of their results.
 
 use std::time::Duration;
 
@@ -23,21 +23,23 @@
     events::Event,
 };
 
-/// The part of a load's stated time before which it is not asked after.
+/// The fraction of a model's stated load time that passes before the engine is
+/// polled for the completion of the load.
 const MIN_LOAD_FRACTION: f64 = 0.9;
 
-/// How long an engine is left alone after an order met another one, in ms;
-/// twice as long each further time.
+/// How long an engine gets no further calls after an order that was rejected
+/// or not sent, in ms. The time doubles with each consecutive such order.
 const CONFLICT_BACKOFF_MS: u64 = 100;
 
-/// How many times that is doubled at the most.
+/// The maximum number of times that [`CONFLICT_BACKOFF_MS`] is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// How long requests get to turn away from a model before it is unloaded.
+/// The delay before a model is unloaded, in which peers learn of the unload
+/// and stop sending requests for the model to the engine.
 const UNLOAD_DELAY: Duration = Duration::from_millis(100);
 
 impl Placer {
-    /// Gives an order on what is known.
+    /// Sends an order that rests on the known state of the engine.
     pub(super) fn send_order(
         &mut self,
         engine: &UpstreamId,
@@ -55,7 +57,8 @@
         });
     }
 
-    /// Gives an order about a model, if a report confirms what is known.
+    /// Sends an order for a model if a report of the engine confirms the known
+    /// state.
     pub(super) fn verify_and_send_order(
         &mut self,
         engine: &UpstreamId,
@@ -75,8 +78,9 @@
         let Some(entry) = self.entries.get_mut(engine) else { return };
         let known = entry.holding.clone();
         if let OrderWish::Unload(variant) = &action {
-            // Peers turn away from it first. A later report tells them what
-            // is there, whatever becomes of the order.
+            // Peers first stop sending requests for the model to the engine.
+            // Whatever the result of the order, peers learn the real holding
+            // from a later report.
             entry.unloading = Some(variant.model.clone());
             entry.mark_changed(now, &mut self.stamp);
         }
@@ -104,6 +108,8 @@
         });
     }
 
+    /// Creates an order to an engine and marks a call to the engine as in
+    /// flight. Returns `None` if the engine is not known.
     pub(super) fn begin_order(
         &mut self,
         engine: &UpstreamId,
@@ -125,7 +131,7 @@
         })
     }
 
-    /// Takes in how an order ended.
+    /// Handles the result of an order.
     pub(in crate::control) fn on_order_finished(
         &mut self,
         order: PendingOrder,
@@ -158,7 +164,8 @@
             }) => {
                 entry.failures = 0;
                 entry.conflicts = 0;
-                // An unload that is not done at once waits for requests.
+                // An unload that is not complete at once waits for running
+                // requests, so a report has to follow.
                 entry.needs_report =
                     matches!(order.action, OrderWish::Unload(_))
                         && (is_model
@@ -188,7 +195,7 @@
             }
             OrderResult::Unanswered(error) => {
                 let id = &order.engine.id;
-                log::debug!("an order to {id} was lost: {error}");
+                log::debug!("no answer to an order to engine {id}: {error}");
                 entry.needs_report = true;
                 entry.backoff_until = now + FAILURE_BACKOFF_MS;
                 entry.discard_assumed_effect(order.expected_sequence);
@@ -198,7 +205,8 @@
 }
 
 impl Placer {
-    /// Takes in what the end of an order says of loads from the weight store.
+    /// Updates the count of loads from the weight store by the result of an
+    /// order.
     fn record_load_outcome(
         &mut self,
         order: &PendingOrder,
@@ -214,20 +222,24 @@
     }
 }
 
+/// Returns the time before which a load order cannot be complete, in ms; 0 for
+/// other orders.
 fn min_load_ms(spec: &EngineSpec, action: &OrderWish) -> u64 {
     let OrderWish::Load(variant) = action else { return 0 };
     let load_ms = spec.model(&variant.model).map_or(0, |model| model.load_ms);
     (load_ms as f64 * MIN_LOAD_FRACTION) as u64
 }
 
-/// Tells whether the engine has the copy that it is to load. Without it the
-/// model would come from the weight store, and not be counted.
+/// Returns whether the engine has the local copy from which it is ordered to
+/// load a model; `true` for other orders. Without the copy, the engine would
+/// load the model from the weight store, and that load would not be counted.
 fn has_required_copy(report: &EngineReport, order: &PendingOrder) -> bool {
     let variant = order.action.variant();
     order.source != Some(LoadSource::Copy)
         || report.copies.contains(&variant.model)
 }
 
+/// Returns whether the engine has enough free memory for the ordered model.
 fn fits(holding: &Holding, action: &OrderWish, spec: &EngineSpec) -> bool {
     match action {
         OrderWish::Unload(_) => true,
@@ -239,7 +251,7 @@
     }
 }
 
-/// Gives an order, if the lease allows it at this moment.
+/// Sends an order if the lease permits orders at this moment.
 async fn send(
     engines: &dyn FleetEngines,
     authority: &Authority,
--- a/crates/valehold-gateway/src/control/placer/tests.rs
+++ b/crates/valehold-gateway/src/control/placer/tests.rs
@@ -1,4 +1,4 @@
-//! What the holder keeps of engines that start again under their name.
+//! Tests of restarted engines, of polls, and of the placement of adapters.
 
 use std::{
     collections::BTreeSet,
@@ -44,7 +44,7 @@
     peers::{message::VariantDemand, roster::sums::DemandSum},
 };
 
-/// Engines that answer nothing.
+/// Engines that answer no call.
 struct SilentEngines;
 
 impl FleetEngines for SilentEngines {
@@ -110,7 +110,8 @@
     })
 }
 
-/// Makes a placer that knows an engine's first start: seven orders were taken.
+/// Creates a placer that knows one engine, after a report of its first start
+/// with seven accepted orders.
 fn placer_with_engine() -> Placer {
     let mut placer = placer();
     placer.replace_listing(&listing_of_one(1, &["alpha"]));
@@ -119,13 +120,13 @@
     placer
 }
 
-/// Returns the last word on the engine.
+/// Returns the latest advertisement of the engine's holding.
 fn advertised(placer: &Placer) -> EngineHolding {
     placer.holdings_where(|_, _| true).remove(0)
 }
 
 #[gtest]
-fn a_report_of_another_start_counts_at_once() {
+fn a_report_of_a_later_start_is_applied_at_once() {
     let mut placer = placer_with_engine();
     let before = advertised(&placer);
     placer.on_report(&start(1), report(2, 0, &[]), at(100));
@@ -137,7 +138,7 @@
 }
 
 #[gtest]
-fn an_entry_of_another_start_voids_what_was_known() {
+fn a_listing_of_a_later_start_discards_the_earlier_state() {
     let mut placer = placer_with_engine();
     placer.replace_listing(&listing_of_one(2, &["gamma"]));
     expect_that!(advertised(&placer).birth, some(eq(2)));
@@ -145,14 +146,14 @@
 }
 
 #[gtest]
-fn a_late_report_brings_no_earlier_start_back() {
+fn a_late_report_does_not_restore_an_earlier_start() {
     let mut placer = placer_with_engine();
     placer.replace_listing(&listing_of_one(2, &[]));
     placer.on_report(&start(2), report(2, 1, &["gamma"]), at(100));
     let unchanged = advertised(&placer);
-    // It was asked before the engine started again.
+    // This poll was sent before the engine was restarted.
     placer.on_report(&start(1), report(1, 9, &["alpha"]), at(110));
-    // It answers for its earlier start.
+    // The answer to a later poll describes the earlier start.
     placer.on_report(&start(2), report(1, 9, &["alpha"]), at(120));
     expect_that!(advertised(&placer), eq(&unchanged));
 }
@@ -179,7 +180,8 @@
     expect_that!(advertised(&placer), eq(&unchanged));
 }
 
-/// Engines that count how many are asked at once, and answer after a while.
+/// Engines that answer after 5 ms and count the polls, in total and at the
+/// same time.
 #[derive(Default)]
 struct CountingEngines {
     in_flight: Arc<AtomicUsize>,
@@ -217,8 +219,8 @@
     Listing { version: 1, upstreams: upstreams.collect() }
 }
 
-/// Returns how many of so many engines were asked at once at the most while a
-/// holder began its epoch, and how many were asked in all.
+/// Polls `count` engines at the start of an epoch. Returns the maximum number
+/// of polls at the same time and the total number of polls.
 async fn poll_all_engines(count: usize) -> (usize, usize) {
     let engines = Arc::new(CountingEngines::default());
     let (inputs, mut reports) = mpsc::unbounded_channel();
@@ -243,13 +245,13 @@
     (max_in_flight, engines.polled.load(Ordering::Relaxed))
 }
 
-// A holder asked every engine at once when its epoch began, and kept each
-// connection: 3,912 descriptors at 3,996 engines, where a machine of the
-// smallest kind has 3,900 for its sockets. At more engines no such machine
-// could have held the lease, and models would have been placed by nobody.
+// A holder once polled every engine at the same time when its epoch began, and
+// kept each connection: 3,912 descriptors for 3,996 engines, where a machine
+// of the smallest kind has 3,900 for its sockets. With more engines, no such
+// machine could have held the lease, and no gateway would have placed models.
 #[gtest]
 #[tokio::test]
-async fn a_holder_asks_no_more_engines_at_once_where_there_are_more() {
+async fn the_number_of_polls_in_flight_does_not_grow_with_the_engines() {
     let local = tokio::task::LocalSet::new();
     let (max_in_flight, polled) =
         local.run_until(poll_all_engines(1_000)).await;
@@ -260,11 +262,12 @@
     expect_that!((polled, polled_of_twice), eq((1_000, 2_000)));
 }
 
-// Engines that do not answer hold their questions for as long as a question
-// may take. Those that answer are not to wait for them again and again.
+// An engine that does not answer occupies a poll until the poll times out.
+// Without this order, engines that answer would wait for silent ones again and
+// again.
 #[gtest]
 #[tokio::test]
-async fn silent_engines_are_asked_after_those_that_answer() {
+async fn silent_engines_are_polled_after_responding_ones() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
@@ -287,7 +290,8 @@
                 let error = Err(PortError::timed_out("silent"));
                 placer.on_report(&start, error, at(1_300));
             }
-            // All are due again; the one that was never asked comes first.
+            // All engines are due again. The one that was never polled comes
+            // first.
             placer.poll_due_engines(&service, at(2_000));
             let not_polled =
                 placer.entries.values().find(|entry| !entry.call_in_flight);
@@ -296,7 +300,7 @@
         .await;
 }
 
-/// Makes a declaration of some models with three adapters each.
+/// Creates the specification of some models with three adapters each.
 fn spec_of(models: &[&str]) -> EngineSpec {
     let adapters = ["a1", "a2", "a3"].map(AdapterName::new);
     let model = |name: &&str| ModelSpec {
@@ -315,7 +319,7 @@
     }
 }
 
-/// Makes demand for some models, so many requests a second each.
+/// Creates demand for some models, each with its requests per second.
 fn demand_for(models: &[(&str, f32)]) -> DemandSum {
     let one = |(model, requests): &(&str, f32)| {
         let variant = Variant::adapted(*model, "a1");
@@ -331,7 +335,7 @@
     DemandSum::from([(RegionBound::Anywhere, variants)])
 }
 
-/// Makes a placer that knows what each of some engines holds.
+/// Creates a placer that knows the holdings of some engines.
 fn placer_with_engines(held: &[&[(&str, &[&str])]]) -> Placer {
     let mut placer = placer();
     placer.replace_listing(&listing_of_engines(held.len()));
@@ -352,14 +356,14 @@
     placer
 }
 
-/// Returns the adapters about which orders are under way.
+/// Returns the adapters with a load order in flight.
 fn pending_orders(placer: &Placer) -> Vec<String> {
     placer.pending_adapter_orders.iter().map(ToString::to_string).collect()
 }
 
 #[gtest]
 #[tokio::test]
-async fn free_places_are_filled_for_the_models_most_asked_for() {
+async fn adapters_are_preloaded_for_the_most_requested_models() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
@@ -373,7 +377,8 @@
             let service = ServiceName::new("engines");
             let demand = demand_for(&[("alpha", 0.5), ("beta", 3.0)]);
             placer.preload_adapters(at(1_000), &service, &spec, &demand);
-            // What is there already is not brought, and no more than three at once.
+            // Adapters that an engine holds are not loaded, and no more than
+            // three loads are in flight.
             let expected = ["alpha/a1", "beta/a2", "beta/a3"];
             expect_that!(pending_orders(&placer), eq(&expected));
         })
@@ -382,7 +387,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_wish_is_granted_by_an_engine_that_holds_the_model() {
+async fn a_load_request_is_served_by_an_engine_that_holds_the_model() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
@@ -404,7 +409,8 @@
                 &spec,
                 &demand,
             );
-            // One engine has the first already, and none is declared the last.
+            // An engine holds the first adapter already, and the specification
+            // does not contain the last model.
             expect_that!(
                 pending_orders(&placer),
                 elements_are![eq("beta/a1")]
@@ -421,12 +427,13 @@
         .await;
 }
 
-// A holder walked all engines for each wish, and made a list of all adapters on
-// all of them each time: 28 ms for 30 wishes and 36 ms for the list at 4,000
-// engines on a whole core, eight times that on the smallest machines. There,
-// 126 of 269 models and adapters that were asked for were never served.
+// A holder once scanned all engines for each load request, and listed all
+// adapters on all engines each time: 28 ms for 30 load requests and 36 ms for
+// the list with 4,000 engines on a whole core, and eight times as long on the
+// smallest machines. There, 126 of 269 requested models and adapters were
+// never served.
 #[gtest]
-fn engines_that_hold_a_model_are_found_without_the_others() {
+fn holders_of_a_model_are_found_without_scanning_all_engines() {
     let holders_among = |count: usize| {
         let mut placer = placer();
         placer.replace_listing(&listing_of_engines(count));
@@ -441,7 +448,7 @@
 }
 
 #[gtest]
-fn engines_that_gave_a_model_up_are_forgotten() {
+fn engines_that_unloaded_a_model_are_removed_from_its_holders() {
     let mut placer = placer_with_engine();
     let beta = ModelName::new("beta");
     expect_that!(placer.holders.engines_with(&beta).count(), eq(1));
