--- a/crates/valehold-gateway/src/control/input.rs
+++ b/crates/valehold-gateway/src/control/input.rs
@@ -24,9 +24,12 @@
 /// A write of the lease's row that was sent to the store.
 #[derive(Debug, Clone)]
 pub(super) struct SentLeaseWrite {
+    /// The version of the row on which the write is conditioned.
     pub(super) version: u64,
     pub(super) row: valehold_core::lease::LeaseRow,
+    /// Whether the write takes the lease instead of renewing it.
     pub(super) takes: bool,
+    /// When the write was sent.
     pub(super) sent: Millis,
 }
 
@@ -36,6 +39,7 @@
     pub(super) engine: UpstreamStart,
     pub(super) address: SocketAddr,
     pub(super) action: OrderWish,
+    /// The number of orders that the engine must have accepted before.
     pub(super) expected_sequence: u64,
     /// The lease epoch under which the order was planned.
     pub(super) epoch: u64,
--- a/crates/valehold-gateway/src/control/lease.rs
+++ b/crates/valehold-gateway/src/control/lease.rs
@@ -102,22 +102,22 @@
 #[derive(Debug, Clone, Copy)]
 struct StoreClock {
     store_ms: u64,
-    read: Millis,
+    read_at: Millis,
 }
 
 impl StoreClock {
     /// Returns the store's time at a local time, or slightly less: the store's
     /// clock was read before the local one.
     fn store_time(self, local: Millis) -> u64 {
-        match local >= self.read {
-            true => self.store_ms + local.since(self.read),
-            false => self.store_ms.saturating_sub(self.read.since(local)),
+        match local >= self.read_at {
+            true => self.store_ms + local.since(self.read_at),
+            false => self.store_ms.saturating_sub(self.read_at.since(local)),
         }
     }
 
     /// Returns the local time at a time of the store, or slightly more.
     fn local_time(self, store_ms: u64) -> Millis {
-        self.read + store_ms.saturating_sub(self.store_ms)
+        self.read_at + store_ms.saturating_sub(self.store_ms)
     }
 }
 
@@ -137,7 +137,7 @@
 
 /// Contends for the lease, holds it and releases it, for one gateway.
 pub(super) struct LeaseManager {
-    me: InstanceId,
+    instance: InstanceId,
     /// The start of this process.
     started: Millis,
     keeper: LeaseKeeper,
@@ -153,6 +153,7 @@
     renewed_at: Millis,
     /// The time since which no gateway is known to hold the lease.
     vacant_since: Option<Millis>,
+    /// The last reading of the store's clock.
     clock: Option<StoreClock>,
     /// The earliest time of orders in the epoch that is held or being taken.
     orders_from: Millis,
@@ -192,7 +193,7 @@
     ) -> Self {
         Self {
             keeper: LeaseKeeper::new(me.clone(), TERMS).retaking_own(),
-            me,
+            instance: me,
             started,
             store,
             inputs,
@@ -315,8 +316,9 @@
     /// Returns the earliest time of the next holder's orders if this gateway
     /// sends no more.
     fn next_orders_from(&self, now: Millis) -> Millis {
-        let bound = self.quiet_ms + ORDER_TRANSIT_MS;
-        let earliest = self.last_order.map_or(now, |ordered| ordered + bound);
+        let delay = self.quiet_ms + ORDER_TRANSIT_MS;
+        let earliest =
+            self.last_order.map_or(now, |ordered_at| ordered_at + delay);
         earliest.max(self.orders_from)
     }
 
@@ -341,16 +343,16 @@
         self.call_in_flight = true;
         self.called_at = write.sent;
         if let Some(clock) = self.clock {
-            // A write that takes the lease keeps the lost loads in the row
-            // until the write has succeeded.
+            // A write that takes the lease repeats the lost loads of the row
+            // before. Later renewals state the lost loads of this gateway.
             if !write.takes {
                 let LostLoads { count, until } = self.lost_loads;
                 write.row.lost_loads =
                     u32::try_from(count).unwrap_or(u32::MAX);
                 write.row.lost_until = clock.store_time(until);
             }
-            let from = clock.store_time(self.orders_from);
-            write.row.orders_from = from + CLOCK_TOLERANCE_MS;
+            let orders_from = clock.store_time(self.orders_from);
+            write.row.orders_from = orders_from + CLOCK_TOLERANCE_MS;
         }
         let (store, inputs) = (self.store.clone(), self.inputs.clone());
         tokio::task::spawn_local(async move {
@@ -378,7 +380,8 @@
         if !self.update_era(lease.version) {
             return;
         }
-        self.clock = Some(StoreClock { store_ms: sight.store_ms, read: now });
+        self.clock =
+            Some(StoreClock { store_ms: sight.store_ms, read_at: now });
         if is_restored {
             self.take_restored_lease(lease, now);
             return;
@@ -473,7 +476,7 @@
     /// Returns the previous holder of the lease according to its row.
     fn previous_holder(&self, row: Option<&LeaseRow>) -> PreviousHolder {
         let Some(row) = row else { return PreviousHolder::NoHolder };
-        let is_own = row.holder.as_ref() == Some(&self.me);
+        let is_own = row.holder.as_ref() == Some(&self.instance);
         match is_own {
             true if self.last_epoch == Some(row.epoch) => {
                 PreviousHolder::ThisProcess
@@ -483,9 +486,10 @@
         }
     }
 
-    /// Returns the loads that earlier holders ordered, for a lease taken with
-    /// the given row before. The last of their orders arrive at least the
-    /// quiet time before the first orders of this gateway.
+    /// Returns the loads that earlier holders ordered, where `row` is the row
+    /// of the lease before this gateway takes it. The last orders of earlier
+    /// holders arrive at least the quiet time before the first orders of this
+    /// gateway.
     fn inherited_loads(
         &self,
         previous_holder: PreviousHolder,
@@ -520,8 +524,8 @@
         self.lost_loads = lost;
     }
 
-    /// Returns the earliest time of orders for a lease taken with the given
-    /// row before.
+    /// Returns the earliest time of this gateway's orders, where `row` is the
+    /// row of the lease before this gateway takes it.
     fn orders_allowed_from(
         &self,
         row: Option<&LeaseRow>,
@@ -530,7 +534,7 @@
         let (Some(row), Some(clock)) = (row, self.clock) else { return now };
         let stated = clock.local_time(row.orders_from);
         let Some(holder) = &row.holder else { return stated };
-        if *holder == self.me {
+        if *holder == self.instance {
             return stated;
         }
         match self.peer_release {
@@ -551,7 +555,7 @@
         self.call_in_flight = false;
         match written {
             Ok(LeaseWrite::Won { version, store_ms }) => {
-                self.clock = Some(StoreClock { store_ms, read: now });
+                self.clock = Some(StoreClock { store_ms, read_at: now });
                 self.on_write_won(write, version, now);
             }
             Ok(LeaseWrite::Lost) => self.keeper.write_lost(write.takes),
--- a/crates/valehold-gateway/src/control/lease/tests.rs
+++ b/crates/valehold-gateway/src/control/lease/tests.rs
@@ -143,7 +143,7 @@
 }
 
 fn not_supported<'a, T: Send + 'a>() -> Answer<'a, T> {
-    async { Err(PortError::malformed("not asked for here")) }.boxed()
+    async { Err(PortError::malformed("not supported by this store")) }.boxed()
 }
 
 /// A gateway that contends for the lease.
@@ -157,9 +157,14 @@
     /// Starts a gateway as a new process.
     fn start(store: &Arc<RowStore>, name: &str, now: u64) -> Self {
         let (sender, inputs) = mpsc::unbounded_channel();
-        let me = InstanceId::new(name);
-        let manager =
-            LeaseManager::new(me, QUIET_MS, store.clone(), sender, at(now));
+        let instance = InstanceId::new(name);
+        let manager = LeaseManager::new(
+            instance,
+            QUIET_MS,
+            store.clone(),
+            sender,
+            at(now),
+        );
         Self { manager, inputs, store: store.clone() }
     }
 
@@ -222,10 +227,10 @@
         first.act_from(SETTLED_MS, 5_000).await;
         expect_true!(first.order(5_000));
         drop(first);
-        let mut again = Member::start(&store, "g1", 5_100);
-        again.act_from(5_100 + SETTLED_MS, 6_500).await;
-        expect_true!(again.manager.held_epoch(at(6_500)).is_some());
-        again.step_down(6_500).await;
+        let mut restarted = Member::start(&store, "g1", 5_100);
+        restarted.act_from(5_100 + SETTLED_MS, 6_500).await;
+        expect_true!(restarted.manager.held_epoch(at(6_500)).is_some());
+        restarted.step_down(6_500).await;
         let mut next = Member::start(&store, "g2", 0);
         next.act_from(6_550, 5_000 + QUIET_MS).await;
         expect_true!(next.manager.held_epoch(at(8_000)).is_some());
@@ -293,9 +298,9 @@
     let steps = async {
         let mut holder = Member::start(&RowStore::new(), "g1", 0);
         inherited_loads(&mut holder, SETTLED_MS).await;
-        let again = inherited_loads(&mut holder, 20_000).await;
+        let inherited = inherited_loads(&mut holder, 20_000).await;
         expect_that!(holder.manager.held_epoch(at(25_000)), some(eq(2)));
-        expect_that!(again, none());
+        expect_that!(inherited, none());
     };
     LocalSet::new().run_until(steps).await;
 }
@@ -310,8 +315,9 @@
         first.manager.set_lost_loads(SEVEN_LOST_LOADS);
         first.act_from(6_000, 8_000).await;
         drop(first);
-        let mut again = Member::start(&store, "g1", 8_100);
-        let inherited = inherited_loads(&mut again, 8_100 + SETTLED_MS).await;
+        let mut restarted = Member::start(&store, "g1", 8_100);
+        let inherited =
+            inherited_loads(&mut restarted, 8_100 + SETTLED_MS).await;
         let inherited = inherited.expect("what the last process ordered");
         expect_that!(inherited.until, ge(at(8_100)));
         expect_that!(inherited.until, le(at(9_100)));
