--- a/crates/valehold-gateway/src/control/placer/adapters.rs
+++ b/crates/valehold-gateway/src/control/placer/adapters.rs
@@ -88,9 +88,9 @@
         }
         self.started_at = Some(now);
         let mut request_rates: BTreeMap<&ModelName, f64> = BTreeMap::new();
-        for (variant, one) in demand.values().flatten() {
+        for (variant, variant_demand) in demand.values().flatten() {
             let requests = request_rates.entry(&variant.model).or_default();
-            *requests += f64::from(one.requests);
+            *requests += f64::from(variant_demand.requests);
         }
         let requests = |model: &ModelName| {
             request_rates.get(model).copied().unwrap_or(0.0)
@@ -111,19 +111,22 @@
         spec: &EngineSpec,
         demand: &DemandSum,
     ) {
-        self.load_requests
-            .retain(|_, one| now.since(one.last_made) < REQUEST_LIFETIME_MS);
-        let due = self.load_requests.iter_mut().filter(|(asked, _)| {
-            asked.variant.adapter.is_some()
-                && spec.model(&asked.variant.model).is_some()
-                && !self.pending_adapter_orders.contains(&asked.variant)
+        self.load_requests.retain(|_, request| {
+            now.since(request.last_made) < REQUEST_LIFETIME_MS
         });
-        let due = due.filter_map(|(asked, request)| {
-            request.is_due(now).then(|| asked.clone())
+        let due = self.load_requests.iter_mut().filter(|(requested, _)| {
+            requested.variant.adapter.is_some()
+                && spec.model(&requested.variant.model).is_some()
+                && !self.pending_adapter_orders.contains(&requested.variant)
+        });
+        let due = due.filter_map(|(requested, request)| {
+            request.is_due(now).then(|| requested.clone())
         });
         let due: Vec<Asked> = due.collect();
-        for asked in due {
-            self.place_requested_adapter(now, service, spec, demand, &asked);
+        for requested in due {
+            self.place_requested_adapter(
+                now, service, spec, demand, &requested,
+            );
         }
     }
 
@@ -135,11 +138,11 @@
         service: &ServiceName,
         spec: &EngineSpec,
         demand: &DemandSum,
-        asked: &Asked,
+        requested: &Asked,
     ) {
-        let Asked { bound, variant } = asked;
+        let Asked { bound, variant } = requested;
         if self.is_served(service, bound, variant) {
-            self.load_requests.remove(asked);
+            self.load_requests.remove(requested);
             return;
         }
         let hosts = self.hosts(now, service, bound, &variant.model);
@@ -268,9 +271,11 @@
 /// Returns the usage of a variant, over all bounds.
 fn usage_of(demand: &DemandSum, variant: &Variant) -> AdapterUse {
     let mut usage = AdapterUse::default();
-    for one in demand.values().filter_map(|variants| variants.get(variant)) {
-        usage.requests += f64::from(one.requests);
-        usage.runs |= one.running > 0;
+    for variant_demand in
+        demand.values().filter_map(|variants| variants.get(variant))
+    {
+        usage.requests += f64::from(variant_demand.requests);
+        usage.runs |= variant_demand.running > 0;
     }
     usage
 }
--- a/crates/valehold-gateway/src/control/placer/holders.rs
+++ b/crates/valehold-gateway/src/control/placer/holders.rs
@@ -12,7 +12,7 @@
 
 /// The interval at which the index is rebuilt without engines that have
 /// unloaded a model, in ms.
-const REBUILD_EVERY_MS: u64 = 5_000;
+const REBUILD_INTERVAL_MS: u64 = 5_000;
 
 /// An index from models to engines.
 ///
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ModelHolders {
     engines: BTreeMap<ModelName, BTreeSet<UpstreamId>>,
-    rebuilt: Millis,
+    rebuilt_at: Millis,
 }
 
 impl ModelHolders {
@@ -51,10 +51,10 @@
         entries: &BTreeMap<UpstreamId, EngineEntry>,
         now: Millis,
     ) {
-        if now.since(self.rebuilt) < REBUILD_EVERY_MS {
+        if now.since(self.rebuilt_at) < REBUILD_INTERVAL_MS {
             return;
         }
-        self.rebuilt = now;
+        self.rebuilt_at = now;
         self.engines.clear();
         for (id, entry) in entries {
             self.record(id, entry);
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -60,7 +60,7 @@
 };
 
 /// The minimum interval between two plans for models, in ms.
-const PLAN_EVERY_MS: u64 = 250;
+const PLAN_INTERVAL_MS: u64 = 250;
 
 /// The maximum number of engines that are polled at the same time. Each poll
 /// holds a connection, and the number of connections of a machine is limited,
@@ -213,8 +213,8 @@
 
     /// Handles a load request: a request of a caller waits for a variant
     /// inside a bound.
-    pub(super) fn on_load_request(&mut self, asked: Asked, now: Millis) {
-        let Asked { bound, variant } = &asked;
+    pub(super) fn on_load_request(&mut self, requested: Asked, now: Millis) {
+        let Asked { bound, variant } = &requested;
         self.bound_usage.note(bound, &variant.model, now);
         let topology = &self.topology;
         // A load request for a variant that an engine already serves means
@@ -231,7 +231,7 @@
                     now.since(entry.polled_at) >= POLL_INTERVAL_MS;
             }
         }
-        let request = self.load_requests.entry(asked).or_default();
+        let request = self.load_requests.entry(requested).or_default();
         request.last_made = now;
     }
 
@@ -268,16 +268,15 @@
         self.holdings_where(|_, entry| entry.needs_advertising(now))
     }
 
-    /// Returns the recently changed holdings that `peers_known` does not
-    /// contain.
+    /// Returns the recently changed holdings that a registry of upstreams has
+    /// not received.
     pub(super) fn holdings_unknown_to(
         &self,
-        peers_known: &KnownUpstreams,
+        registry: &KnownUpstreams,
         now: Millis,
     ) -> Vec<EngineHolding> {
         let is_due = |id: &UpstreamId, entry: &EngineEntry| {
-            entry.needs_advertising(now)
-                && !peers_known.was_told(id, entry.stamp)
+            entry.needs_advertising(now) && !registry.was_told(id, entry.stamp)
         };
         self.holdings_where(is_due)
     }
@@ -295,7 +294,7 @@
         predicate: impl Fn(&UpstreamId, &EngineEntry) -> bool,
     ) -> Vec<EngineHolding> {
         let entries =
-            self.entries.iter().filter(|(id, one)| predicate(id, one));
+            self.entries.iter().filter(|(id, entry)| predicate(id, entry));
         let holdings = entries.map(|(id, entry)| EngineHolding {
             engine: id.clone(),
             birth: entry.start.birth,
@@ -310,12 +309,12 @@
     /// requests.
     pub(super) fn update_restrictions(
         &mut self,
-        rests: &Rests,
+        backoffs: &Rests,
         limits: &UpstreamLimits,
         now: Millis,
     ) {
         for entry in self.entries.values_mut() {
-            entry.restricted = !rests.is_awake(&entry.start, now)
+            entry.restricted = !backoffs.is_awake(&entry.start, now)
                 || limits.rate(&entry.start).is_some();
         }
     }
@@ -350,7 +349,7 @@
         demand: &DemandSum,
         loads: &Loads,
     ) -> Option<LoadCount> {
-        if now.since(self.planned_at) < PLAN_EVERY_MS {
+        if now.since(self.planned_at) < PLAN_INTERVAL_MS {
             return None;
         }
         self.planned_at = now;
--- a/crates/valehold-gateway/src/control/placer/orders.rs
+++ b/crates/valehold-gateway/src/control/placer/orders.rs
@@ -52,7 +52,8 @@
         let (engines, inputs) = (self.engines.clone(), self.inputs.clone());
         let authority = self.authority.clone();
         tokio::task::spawn_local(async move {
-            let result = send(&*engines, &authority, &order).await;
+            let result =
+                send_if_permitted(&*engines, &authority, &order).await;
             let _ = inputs.send(Input::OrderFinished(order, result));
         });
     }
@@ -76,7 +77,7 @@
         }
         order.min_duration_ms = min_load_ms(spec, &action);
         let Some(entry) = self.entries.get_mut(engine) else { return };
-        let known = entry.holding.clone();
+        let known_holding = entry.holding.clone();
         if let OrderWish::Unload(variant) = &action {
             // Peers first stop sending requests for the model to the engine.
             // Whatever the result of the order, peers learn the real holding
@@ -96,12 +97,12 @@
                 !report.busy
                     && (report.birth.is_none()
                         || report.birth == order.engine.birth)
-                    && report.holding == known
+                    && report.holding == known_holding
                     && has_required_copy(&report, &order)
                     && fits(&report.holding, &order.action, &spec)
             });
             let result = match is_unchanged {
-                true => send(&*engines, &authority, &order).await,
+                true => send_if_permitted(&*engines, &authority, &order).await,
                 false => OrderResult::NotSent,
             };
             let _ = inputs.send(Input::OrderFinished(order, result));
@@ -151,11 +152,11 @@
         .log();
         self.pending_adapter_orders.remove(variant);
         self.record_load_outcome(&order, result, now);
-        let is_model = variant.adapter.is_none();
+        let is_model_order = variant.adapter.is_none();
         let entry = self.entries.get_mut(&order.engine.id);
-        let of_this_start =
+        let is_ordered_start =
             |entry: &&mut EngineEntry| entry.start == order.engine;
-        let Some(entry) = entry.filter(of_this_start) else { return };
+        let Some(entry) = entry.filter(is_ordered_start) else { return };
         entry.call_in_flight = false;
         match result {
             OrderResult::Answered(OrderAnswer {
@@ -168,13 +169,15 @@
                 // requests, so a report has to follow.
                 entry.needs_report =
                     matches!(order.action, OrderWish::Unload(_))
-                        && (is_model
+                        && (is_model_order
                             || result.outcome()
                                 == Some(OrderOutcome::Accepted));
                 entry.holding.sequence = order.expected_sequence + 1;
                 entry.apply(&order.action, now);
                 self.holders.record(&order.engine.id, entry);
-                if let (true, OrderWish::Load(_)) = (is_model, &order.action) {
+                if let (true, OrderWish::Load(_)) =
+                    (is_model_order, &order.action)
+                {
                     let has_copy = entry.copies.contains(&variant.model);
                     let min_duration_ms =
                         if has_copy { 0 } else { order.min_duration_ms };
@@ -252,7 +255,7 @@
 }
 
 /// Sends an order if the lease permits orders at this moment.
-async fn send(
+async fn send_if_permitted(
     engines: &dyn FleetEngines,
     authority: &Authority,
     pending: &PendingOrder,
--- a/crates/valehold-gateway/src/control/placer/tests.rs
+++ b/crates/valehold-gateway/src/control/placer/tests.rs
@@ -71,8 +71,8 @@
     Millis::new(ms)
 }
 
-fn start(birth: u64) -> UpstreamStart {
-    UpstreamStart { id: UpstreamId::new("e1"), birth: Some(birth) }
+fn start(started_at_ms: u64) -> UpstreamStart {
+    UpstreamStart { id: UpstreamId::new("e1"), birth: Some(started_at_ms) }
 }
 
 fn holding(sequence: u64, models: &[&str]) -> Holding {
@@ -81,7 +81,7 @@
     Holding { sequence, models }
 }
 
-fn listing_of_one(birth: u64, models: &[&str]) -> Listing {
+fn listing_of_one(started_at_ms: u64, models: &[&str]) -> Listing {
     let upstream = Upstream {
         id: UpstreamId::new("e1"),
         service: ServiceName::new("engines"),
@@ -90,7 +90,7 @@
         slots: 4,
         leaving: false,
         cold_for_ms: 0,
-        birth: Some(birth),
+        birth: Some(started_at_ms),
         holding: holding(0, models),
     };
     let upstreams = [(upstream.id.clone(), Arc::new(upstream))];
@@ -98,12 +98,12 @@
 }
 
 fn report(
-    birth: u64,
+    started_at_ms: u64,
     sequence: u64,
     models: &[&str],
 ) -> Result<EngineReport, PortError> {
     Ok(EngineReport {
-        birth: Some(birth),
+        birth: Some(started_at_ms),
         holding: holding(sequence, models),
         copies: BTreeSet::new(),
         busy: false,
@@ -208,12 +208,12 @@
 }
 
 fn listing_of_engines(count: usize) -> Listing {
-    let one = Upstream::clone(
+    let template = Upstream::clone(
         &listing_of_one(1, &["alpha"]).upstreams[&start(1).id],
     );
     let upstreams = (0..count).map(|number| {
         let id = UpstreamId::new(format!("e{number}"));
-        let upstream = Upstream { id: id.clone(), ..one.clone() };
+        let upstream = Upstream { id: id.clone(), ..template.clone() };
         (id, Arc::new(upstream))
     });
     Listing { version: 1, upstreams: upstreams.collect() }
@@ -263,8 +263,8 @@
 }
 
 // An engine that does not answer occupies a poll until the poll times out.
-// Without this order, engines that answer would wait for silent ones again and
-// again.
+// Unless silent engines are polled last, engines that answer wait for them
+// again and again.
 #[gtest]
 #[tokio::test]
 async fn silent_engines_are_polled_after_responding_ones() {
@@ -284,8 +284,9 @@
             };
             expect_that!(not_polled(&placer), eq(1));
             let polled =
-                placer.entries.values().filter(|one| one.call_in_flight);
-            let polled: Vec<_> = polled.map(|one| one.start.clone()).collect();
+                placer.entries.values().filter(|entry| entry.call_in_flight);
+            let polled: Vec<_> =
+                polled.map(|entry| entry.start.clone()).collect();
             for start in polled {
                 let error = Err(PortError::timed_out("silent"));
                 placer.on_report(&start, error, at(1_300));
@@ -321,7 +322,7 @@
 
 /// Creates demand for some models, each with its requests per second.
 fn demand_for(models: &[(&str, f32)]) -> DemandSum {
-    let one = |(model, requests): &(&str, f32)| {
+    let demand_of = |(model, requests): &(&str, f32)| {
         let variant = Variant::adapted(*model, "a1");
         let demand = VariantDemand {
             variant: variant.clone(),
@@ -331,21 +332,21 @@
         };
         (variant, demand)
     };
-    let variants = models.iter().map(one).collect();
+    let variants = models.iter().map(demand_of).collect();
     DemandSum::from([(RegionBound::Anywhere, variants)])
 }
 
 /// Creates a placer that knows the holdings of some engines.
-fn placer_with_engines(held: &[&[(&str, &[&str])]]) -> Placer {
+fn placer_with_engines(holdings: &[&[(&str, &[&str])]]) -> Placer {
     let mut placer = placer();
-    placer.replace_listing(&listing_of_engines(held.len()));
-    for (number, models) in held.iter().enumerate() {
+    placer.replace_listing(&listing_of_engines(holdings.len()));
+    for (number, models) in holdings.iter().enumerate() {
         let id = UpstreamId::new(format!("e{number}"));
-        let one = |(model, adapters): &(&str, &[&str])| {
+        let held_model = |(model, adapters): &(&str, &[&str])| {
             let adapters = adapters.iter().map(AdapterName::new).collect();
             (ModelName::new(*model), adapters)
         };
-        let models = models.iter().map(one).collect();
+        let models = models.iter().map(held_model).collect();
         let holding = Holding { sequence: 0, models };
         let copies = BTreeSet::new();
         let birth = Some(1);
@@ -367,12 +368,12 @@
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
-            let held: &[&[(&str, &[&str])]] = &[
+            let holdings: &[&[(&str, &[&str])]] = &[
                 &[("alpha", &[]), ("beta", &["a1"])],
                 &[("alpha", &[])],
                 &[("beta", &[])],
             ];
-            let mut placer = placer_with_engines(held);
+            let mut placer = placer_with_engines(holdings);
             let spec = spec_of(&["alpha", "beta"]);
             let service = ServiceName::new("engines");
             let demand = demand_for(&[("alpha", 0.5), ("beta", 3.0)]);
@@ -391,9 +392,9 @@
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
-            let held: &[&[(&str, &[&str])]] =
+            let holdings: &[&[(&str, &[&str])]] =
                 &[&[("alpha", &["a1"])], &[("beta", &[])], &[("alpha", &[])]];
-            let mut placer = placer_with_engines(held);
+            let mut placer = placer_with_engines(holdings);
             let spec = spec_of(&["alpha", "beta"]);
             let service = ServiceName::new("engines");
             let demand = DemandSum::new();
@@ -418,8 +419,10 @@
             expect_true!(
                 placer.entries[&UpstreamId::new("e1")].call_in_flight
             );
-            let requests =
-                placer.load_requests.keys().map(|one| &one.variant.model);
+            let requests = placer
+                .load_requests
+                .keys()
+                .map(|requested| &requested.variant.model);
             let requests: Vec<&str> =
                 requests.map(ModelName::as_str).collect();
             expect_that!(requests, elements_are![eq(&"beta"), eq(&"gamma")]);
