--- a/crates/valehold-core/src/fleet/choice.rs
+++ b/crates/valehold-core/src/fleet/choice.rs
@@ -1,57 +1,59 @@
-//! Which of several plain upstreams takes a request.
+//! Chooses the upstream of a plain service that receives a request.
 //!
 //! Engines are chosen by [`crate::routing`], which predicts when an answer
-//! begins. Plain services say nothing of their load, so the one with the
-//! fewest requests for each of its slots is taken, as far as this instance
-//! and its peers know, and among equals the nearer one: the way counts as requests that wait.
+//! begins. The processes of a plain service do not report their load. For
+//! these, the choice is the process with the lowest cost: the number of
+//! requests per slot that this instance and its peers have in flight to the
+//! process, plus the cost of the network path, counted as waiting requests.
 
 use crate::id::UpstreamId;
 
-/// What is known of one plain upstream.
+/// A process of a plain service that is eligible for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlainCandidate {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Requests that it works on at once.
+    /// The number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// Requests that instances have sent and that are not answered.
+    /// The number of requests in flight to the upstream, of all instances.
     pub running: u32,
-    /// What the way to it costs, in ms.
-    pub way_ms: f64,
+    /// The cost of the network path to the upstream, in ms.
+    pub path_cost_ms: f64,
 }
 
-/// Chooses a plain upstream, or `None` without candidates.
+/// Returns the candidate with the lowest cost, or `None` without candidates.
 ///
-/// `draw` is a number from 0 to 1 that breaks ties.
+/// `draw` is a random number from 0 to 1 that breaks ties.
 pub fn choose_plain(
     candidates: &[PlainCandidate],
     draw: f64,
 ) -> Option<&PlainCandidate> {
-    let least = candidates.iter().map(cost).min_by(f64::total_cmp)?;
-    let equal: Vec<&PlainCandidate> =
-        candidates.iter().filter(|c| cost(c) <= least + TIE).collect();
+    let lowest = candidates.iter().map(cost).min_by(f64::total_cmp)?;
+    let tied: Vec<&PlainCandidate> =
+        candidates.iter().filter(|c| cost(c) <= lowest + TIE_MARGIN).collect();
     #[allow(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss
     )]
-    let index = (draw * equal.len() as f64) as usize;
-    equal.get(index.min(equal.len() - 1)).copied()
+    let index = (draw * tied.len() as f64) as usize;
+    tied.get(index.min(tied.len() - 1)).copied()
 }
 
-/// Costs that differ by less are taken for equal.
-const TIE: f64 = 0.01;
+/// Candidates whose cost exceeds the lowest by at most this much are tied.
+const TIE_MARGIN: f64 = 0.01;
 
-/// What a ms of the way to an upstream costs, in requests for each slot: a
-/// request beyond the slots waits for another one, some 20 ms long.
-const LOAD_OF_MS: f64 = 0.05;
+/// The cost of 1 ms of network path, in requests per slot. A request that
+/// finds no free slot waits for another request, which takes about 20 ms.
+const LOAD_PER_MS: f64 = 0.05;
 
-/// The most that a way costs, in requests for each slot: where hardly a slot
-/// is free nearby, one that is free anywhere is the better one.
-const MOST_WAY: f64 = 0.8;
+/// The maximum cost of a network path, in requests per slot. Without the
+/// maximum, a request would wait for one of the last slots nearby although a
+/// distant upstream has a free slot.
+const MAX_PATH_LOAD: f64 = 0.8;
 
 fn cost(candidate: &PlainCandidate) -> f64 {
     let slots = f64::from(candidate.slots.max(1));
     let load = f64::from(candidate.running + 1) / slots;
-    load + (candidate.way_ms * LOAD_OF_MS).min(MOST_WAY)
+    load + (candidate.path_cost_ms * LOAD_PER_MS).min(MAX_PATH_LOAD)
 }
--- a/crates/valehold-core/src/fleet/tests/choice.rs
+++ b/crates/valehold-core/src/fleet/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which of several plain upstreams takes a request.
+//! Tests of the choice among the processes of a plain service.
 
 use googletest::prelude::*;
 
@@ -7,13 +7,13 @@
     id::UpstreamId,
 };
 
-/// Makes a process with six slots.
-fn process(name: &str, running: u32, way_ms: f64) -> PlainCandidate {
+/// Returns a candidate with six slots.
+fn candidate(name: &str, running: u32, path_cost_ms: f64) -> PlainCandidate {
     PlainCandidate {
         upstream: UpstreamId::new(name),
         slots: 6,
         running,
-        way_ms,
+        path_cost_ms,
     }
 }
 
@@ -23,29 +23,29 @@
 }
 
 #[gtest]
-fn among_equals_the_nearer_one_is_taken() {
+fn the_nearest_of_equally_loaded_candidates_is_chosen() {
     let all = [
-        process("far", 2, 32.0),
-        process("region", 2, 4.8),
-        process("near", 2, 0.0),
+        candidate("far", 2, 32.0),
+        candidate("region", 2, 4.8),
+        candidate("near", 2, 0.0),
     ];
     expect_that!(chosen(&all), eq("near"));
     expect_that!(chosen(&all[..2]), eq("region"));
     expect_true!(choose_plain(&[], 0.5).is_none());
 }
 
-/// A process with a free slot answers at once: the way to another region is
-/// longer than any wait there.
+/// A process with a free slot answers at once, and the path to another region
+/// takes longer than the wait at a nearby process.
 #[gtest]
-fn another_region_is_not_gone_to_while_slots_are_free_nearby() {
+fn another_region_is_not_chosen_while_slots_are_free_nearby() {
     for running in 0..4 {
-        let all = [process("near", running, 0.0), process("far", 0, 32.0)];
+        let all = [candidate("near", running, 0.0), candidate("far", 0, 32.0)];
         expect_that!(chosen(&all), eq("near"));
     }
 }
 
 #[gtest]
-fn a_free_slot_anywhere_goes_before_a_wait_nearby() {
-    let all = [process("near", 8, 0.0), process("far", 0, 300.0)];
+fn a_distant_free_slot_is_preferred_to_a_wait_nearby() {
+    let all = [candidate("near", 8, 0.0), candidate("far", 0, 300.0)];
     expect_that!(chosen(&all), eq("far"));
 }
--- a/crates/valehold-gateway/src/traffic/choose/process.rs
+++ b/crates/valehold-gateway/src/traffic/choose/process.rs
@@ -32,7 +32,7 @@
                 upstream: upstream.id.clone(),
                 slots: upstream.slots,
                 running: load_of(app, &upstream.start()).running,
-                way_ms: app.way_to(&upstream.data_centre).cost_ms(),
+                path_cost_ms: app.way_to(&upstream.data_centre).cost_ms(),
             };
             (app.is_suspect(&upstream.start()), candidate)
         })
