--- a/crates/valehold-core/src/fleet/health.rs
+++ b/crates/valehold-core/src/fleet/health.rs
@@ -1,57 +1,60 @@
-//! How far an upstream's failures speak against it.
+//! The failure score of an upstream, which marks unreliable upstreams as
+//! suspect.
 
 use crate::time::Millis;
 
-/// In how many ms a score falls to half by itself.
+/// The half-life of a score, in ms: without new failures a score decays to
+/// half in this time.
 const HALF_LIFE_MS: f64 = 3_000.0;
 
-/// From which score on an upstream is taken only where no other is left.
-const SUSPECT: f64 = 0.45;
+/// The score from which on an upstream is suspect. A suspect upstream is
+/// chosen only if no other upstream is left.
+const SUSPECT_SCORE: f64 = 0.45;
 
-/// By how much a score nears 1 with a failure of a request.
-const FAILURE: f64 = 0.35;
+/// The part of the distance to 1 by which a failed request raises a score.
+const FAILURE_WEIGHT: f64 = 0.35;
 
-/// What is left of a score after a success.
-const AFTER_SUCCESS: f64 = 0.75;
+/// The factor by which a successful request reduces a score.
+const SUCCESS_FACTOR: f64 = 0.75;
 
-/// A score of failures, from 0 to 1.
+/// A failure score from 0, without recent failures, to 1.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
     score: f64,
-    updated: Millis,
+    updated_at: Millis,
 }
 
 impl Health {
-    /// Notes that a request failed.
-    pub fn failed(&mut self, now: Millis) {
+    /// Records a failed request.
+    pub fn record_failure(&mut self, now: Millis) {
         let score = self.score(now);
-        self.set(score + (1.0 - score) * FAILURE, now);
+        self.set(score + (1.0 - score) * FAILURE_WEIGHT, now);
     }
 
-    /// Notes that it could not be reached, or fell silent.
-    pub fn unreachable(&mut self, now: Millis) {
+    /// Records that the upstream could not be reached or stopped responding.
+    pub fn record_unreachable(&mut self, now: Millis) {
         self.set(1.0, now);
     }
 
-    /// Notes that a request succeeded.
-    pub fn succeeded(&mut self, now: Millis) {
-        let score = self.score(now) * AFTER_SUCCESS;
+    /// Records a successful request.
+    pub fn record_success(&mut self, now: Millis) {
+        let score = self.score(now) * SUCCESS_FACTOR;
         self.set(score, now);
     }
 
-    /// Tells whether another upstream should be taken.
+    /// Returns whether other upstreams should be preferred to this one.
     pub fn is_suspect(&self, now: Millis) -> bool {
-        self.score(now) >= SUSPECT
+        self.score(now) >= SUSPECT_SCORE
     }
 
     #[allow(clippy::cast_precision_loss)]
     fn score(&self, now: Millis) -> f64 {
-        let age = now.since(self.updated) as f64;
+        let age = now.since(self.updated_at) as f64;
         self.score * (-age / HALF_LIFE_MS).exp2()
     }
 
     fn set(&mut self, score: f64, now: Millis) {
         self.score = score.clamp(0.0, 1.0);
-        self.updated = now;
+        self.updated_at = now;
     }
 }
--- a/crates/valehold-core/src/fleet/tests/health.rs
+++ b/crates/valehold-core/src/fleet/tests/health.rs
@@ -1,41 +1,41 @@
-//! Failures speak against an upstream for a while.
+//! Tests of the failure score of an upstream.
 
 use googletest::prelude::*;
 
 use crate::{Millis, fleet::health::Health};
 
 #[gtest]
-fn one_failure_is_forgiven_and_several_are_not() {
+fn two_failures_make_an_upstream_suspect_for_a_while() {
     let mut health = Health::default();
     let now = Millis::new(1_000);
-    health.failed(now);
+    health.record_failure(now);
     expect_false!(health.is_suspect(now));
-    health.failed(now);
+    health.record_failure(now);
     expect_true!(health.is_suspect(now));
     expect_false!(health.is_suspect(now + 10_000));
 }
 
 #[gtest]
-fn who_cannot_be_reached_is_suspect_at_once() {
+fn an_unreachable_upstream_is_suspect_at_once() {
     let mut health = Health::default();
     let now = Millis::new(1_000);
-    health.unreachable(now);
+    health.record_unreachable(now);
     expect_true!(health.is_suspect(now + 2_000));
     for _ in 0..3 {
-        health.succeeded(now + 2_000);
+        health.record_success(now + 2_000);
     }
     expect_false!(health.is_suspect(now + 2_000));
 }
 
 #[gtest]
-fn failing_nearly_half_the_time_is_suspect_most_of_the_time() {
+fn alternating_failures_and_successes_are_mostly_suspect() {
     let mut health = Health::default();
     let mut suspect = 0;
     for round in 0..100_u64 {
         let now = Millis::new(round * 50);
         match round % 2 {
-            0 => health.failed(now),
-            _ => health.succeeded(now),
+            0 => health.record_failure(now),
+            _ => health.record_success(now),
         }
         suspect += u32::from(health.is_suspect(now));
     }
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -181,7 +181,7 @@
                     crashes::answered(&app, &self.job);
                 }
                 let start = &chosen.upstream.start();
-                app.judge(start, |health, now| health.succeeded(now));
+                app.judge(start, |health, now| health.record_success(now));
                 if let Some(variant) = &self.job.request.variant {
                     app.note_taken(start, Some(variant));
                     app.note_pace(chosen, &variant.model, took_ms);
@@ -256,8 +256,8 @@
     ) -> Result<Passable, SendFailure> {
         let failed = head.status.is_server_error();
         self.app.judge(&upstream.start(), |health, now| match failed {
-            true => health.failed(now),
-            false => health.succeeded(now),
+            true => health.record_failure(now),
+            false => health.record_success(now),
         });
         let repeatable = self.job.route.repetition.is_allowed();
         if failed && self.can_move_from(&upstream.id) {
@@ -284,7 +284,7 @@
         self.record.failed(&failure);
         let is_given_up = crashes::refused_ms(&self.app, &self.job).is_some();
         if failure.verdict != Verdict::NotRun && !is_given_up {
-            self.app.judge(start, |health, now| health.failed(now));
+            self.app.judge(start, |health, now| health.record_failure(now));
         }
         self.note_turned_away(start, failure);
         // A right that was over, or a rest, speaks against no upstream: it may
@@ -355,7 +355,7 @@
         &mut self,
         broken: &UpstreamStart,
     ) -> Option<Relay> {
-        self.app.judge(broken, |health, now| health.failed(now));
+        self.app.judge(broken, |health, now| health.record_failure(now));
         self.record.broke_off();
         self.leave(&broken.id, true);
         for _ in 0..MOST_TRIES {
--- a/crates/valehold-gateway/src/traffic/send.rs
+++ b/crates/valehold-gateway/src/traffic/send.rs
@@ -159,7 +159,7 @@
             let error = error.to_string();
             Event::UpstreamUnreachable { upstream: upstream_id, error }.log();
             let start = upstream.start();
-            app.judge(&start, |health, now| health.unreachable(now));
+            app.judge(&start, |health, now| health.record_unreachable(now));
             rights::may_have_restarted(app, job, upstream);
             SendFailure::not_sent()
         })?;
