--- a/crates/valehold-core/examples/upstream_words.rs
+++ b/crates/valehold-core/examples/upstream_words.rs
@@ -56,7 +56,7 @@
 
 fn start(number: u32) -> UpstreamStart {
     let id = UpstreamId::new(format!("i-{number:010x}"));
-    UpstreamStart { id, birth: None }
+    UpstreamStart { id, started_at_ms: None }
 }
 
 fn mean_ns(mut act: impl FnMut()) -> f64 {
--- a/crates/valehold-core/src/fleet/cold/belief.rs
+++ b/crates/valehold-core/src/fleet/cold/belief.rs
@@ -40,12 +40,12 @@
     pub fn hear(&mut self, entry: &Upstream, lasts_ms: u64, now: Millis) {
         let id = &entry.id;
         let known = self.births.get(id).copied();
-        if known > entry.birth && entry.birth.is_some() {
+        if known > entry.started_at_ms && entry.started_at_ms.is_some() {
             // An earlier start's entry that comes late.
             return;
         }
-        let is_reborn = known.is_some() && known < entry.birth;
-        if let Some(birth) = entry.birth {
+        let is_reborn = known.is_some() && known < entry.started_at_ms;
+        if let Some(birth) = entry.started_at_ms {
             self.births.insert(id.clone(), birth);
         }
         let until = now + entry.cold_for_ms;
--- a/crates/valehold-core/src/fleet/identity.rs
+++ b/crates/valehold-core/src/fleet/identity.rs
@@ -1,11 +1,12 @@
-//! Which start of an upstream is meant.
+//! Identifies one start of an upstream.
 //!
-//! An upstream may start again under the name that it had, and then holds and
-//! knows nothing of before. What is learned of it, counted for it or expected
-//! of it belongs to one start, so that whatever is kept by upstream is kept by
-//! [`UpstreamStart`]: another start is another key, and what comes late of an
-//! earlier one finds its own. [`Births`] keeps the latest start of each, so
-//! that nothing that is old brings an earlier one back.
+//! An upstream may restart under the same name. The restarted process holds
+//! no models and has no state of the process before. Statistics, counters and
+//! expectations therefore belong to one start, and maps use [`UpstreamStart`]
+//! as their key: a restart gets a new key, and a late report about an earlier
+//! start still finds the entry of that start. [`StartTimes`] records the latest
+//! start of each upstream, so that a stale report cannot replace the latest
+//! start with an earlier one.
 
 use std::collections::BTreeMap;
 
@@ -24,79 +25,86 @@
 pub struct UpstreamStart {
     /// The upstream.
     pub id: UpstreamId,
-    /// When it started, in ms of its own clock, if it says so.
-    pub birth: Option<u64>,
+    /// The start time in ms of the upstream's own clock, or `None` if the
+    /// upstream does not report a start time.
+    pub started_at_ms: Option<u64>,
 }
 
 impl UpstreamStart {
-    /// Returns the start's tag: another one than that of other starts.
+    /// Returns a 32-bit hash of the name and the start time, which tells this
+    /// start from other starts.
     #[allow(clippy::cast_possible_truncation)]
     pub fn tag(&self) -> UpstreamTag {
-        let seed = self.birth.unwrap_or(0);
+        let seed = self.started_at_ms.unwrap_or(0);
         let hash = xxh3_64_with_seed(self.id.as_str().as_bytes(), seed);
         UpstreamTag::new(hash as u32)
     }
 }
 
-/// For how long after a start's last word what tells of an earlier one is taken
-/// for late, in ms: nothing is on its way for longer. From then on a clock went
-/// back, and the earlier birth is the newer start's.
-const REMEMBER_MS: u64 = 600_000;
+/// How long after the last report about a start a report about an earlier
+/// start counts as late, in ms. No message is in transit for longer. After
+/// this time, an earlier start time means that a clock was set back, and the
+/// report is about a newer start.
+const LATE_REPORT_WINDOW_MS: u64 = 600_000;
 
-/// How often starts of upstreams that are gone are looked for, in ms.
-const SWEEP_EVERY_MS: u64 = 60_000;
+/// The interval at which entries of removed upstreams are pruned, in ms.
+const PRUNE_INTERVAL_MS: u64 = 60_000;
 
-/// What is known of the latest start of an upstream.
+/// The latest start of an upstream.
 #[derive(Debug, Clone, Copy)]
-struct Latest {
-    birth: u64,
-    heard: Millis,
+struct LatestStart {
+    started_at_ms: u64,
+    reported_at: Millis,
 }
 
-/// The latest start of each upstream that states when it was.
+/// The latest start time of each upstream that reports start times.
 ///
-/// Births order starts: what tells of an earlier one is old, whenever it
-/// arrives. What states none tells of the latest.
+/// Start times order the starts of an upstream: a report with an earlier start
+/// time is stale, no matter when the report arrives. A report without a start
+/// time counts as a report about the latest start.
 #[derive(Debug, Clone, Default)]
-pub struct Births {
-    latest: BTreeMap<UpstreamId, Latest>,
-    swept: Millis,
+pub struct StartTimes {
+    latest: BTreeMap<UpstreamId, LatestStart>,
+    pruned_at: Millis,
 }
 
-impl Births {
-    /// Notes what was said of an upstream's birth; tells whether it is of its
-    /// latest start, rather than of an earlier one.
-    pub fn note(
+impl StartTimes {
+    /// Records the start time that a report about an upstream states. Returns
+    /// whether the report is about the latest start, rather than an earlier
+    /// one.
+    pub fn record(
         &mut self,
         id: &UpstreamId,
-        birth: Option<u64>,
+        started_at_ms: Option<u64>,
         now: Millis,
     ) -> bool {
-        let Some(birth) = birth else { return true };
-        let latest = Latest { birth, heard: now };
-        let known = self.latest.entry(id.clone()).or_insert(latest);
-        let is_young = now.since(known.heard) < REMEMBER_MS;
-        if birth < known.birth && is_young {
+        let Some(started_at_ms) = started_at_ms else { return true };
+        let reported = LatestStart { started_at_ms, reported_at: now };
+        let latest = self.latest.entry(id.clone()).or_insert(reported);
+        let is_recent = now.since(latest.reported_at) < LATE_REPORT_WINDOW_MS;
+        if started_at_ms < latest.started_at_ms && is_recent {
             return false;
         }
-        *known = latest;
+        *latest = reported;
         true
     }
 
-    /// Returns the birth of an upstream's latest start.
-    pub fn of(&self, id: &UpstreamId) -> Option<u64> {
-        self.latest.get(id).map(|latest| latest.birth)
+    /// Returns the start time of an upstream's latest start, or `None` if no
+    /// start time is recorded.
+    pub fn latest(&self, id: &UpstreamId) -> Option<u64> {
+        self.latest.get(id).map(|latest| latest.started_at_ms)
     }
 
-    /// Forgets upstreams of which nothing was heard for long and that are not
-    /// `known`, now and then.
-    pub fn sweep(&mut self, known: impl Fn(&UpstreamId) -> bool, now: Millis) {
-        if now.since(self.swept) < SWEEP_EVERY_MS {
+    /// Removes upstreams that are not `known` and had no report for
+    /// [`LATE_REPORT_WINDOW_MS`]. Does nothing if the last run was less than
+    /// [`PRUNE_INTERVAL_MS`] ago.
+    pub fn prune(&mut self, known: impl Fn(&UpstreamId) -> bool, now: Millis) {
+        if now.since(self.pruned_at) < PRUNE_INTERVAL_MS {
             return;
         }
-        self.swept = now;
+        self.pruned_at = now;
         self.latest.retain(|id, latest| {
-            now.since(latest.heard) < REMEMBER_MS || known(id)
+            now.since(latest.reported_at) < LATE_REPORT_WINDOW_MS || known(id)
         });
     }
 }
--- a/crates/valehold-core/src/fleet/known.rs
+++ b/crates/valehold-core/src/fleet/known.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    identity::{Births, UpstreamStart},
+    identity::{StartTimes, UpstreamStart},
     index::UpstreamIndex,
     lapsed::LapsedUpstreams,
     leaving::LeavingUpstreams,
@@ -40,7 +40,7 @@
     /// The engine.
     pub engine: UpstreamId,
     /// When the start of it began that holds this, in ms, if it says so.
-    pub birth: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// What it holds.
     pub holding: Holding,
     /// Orders what holders say of one engine.
@@ -64,7 +64,7 @@
     lapsed: LapsedUpstreams,
     told: BTreeMap<UpstreamId, Told>,
     leaving: LeavingUpstreams,
-    births: Births,
+    start_times: StartTimes,
     /// Starts that went from the list lately, and when.
     gone: BTreeMap<UpstreamStart, Millis>,
     /// All four together.
@@ -222,7 +222,8 @@
     fn void_earlier_starts(&mut self, listing: &mut Listing, now: Millis) {
         let mut latest = Upstreams::new();
         for (id, upstream) in std::mem::take(&mut listing.upstreams) {
-            let is_latest = self.births.note(&id, upstream.birth, now);
+            let is_latest =
+                self.start_times.record(&id, upstream.started_at_ms, now);
             let before = self.rows.upstreams.get(&id).cloned();
             if let Some(one) = if is_latest { Some(upstream) } else { before }
             {
@@ -287,8 +288,10 @@
         now: Millis,
     ) -> ListingDelta {
         let mut delta = delta.clone();
-        let births = &mut self.births;
-        delta.changed.retain(|one| births.note(&one.id, one.birth, now));
+        let start_times = &mut self.start_times;
+        delta
+            .changed
+            .retain(|one| start_times.record(&one.id, one.started_at_ms, now));
         delta
     }
 
@@ -300,12 +303,13 @@
             let known = self.told.get(&one.engine);
             let is_older = known.is_some_and(|known| known.stamp > one.stamp);
             let is_there = self.known.upstreams.contains_key(&one.engine);
-            let EngineHolding { engine, birth, holding, stamp } = one;
-            let is_of_earlier = birth < self.births.of(&engine);
+            let EngineHolding { engine, started_at_ms: birth, holding, stamp } =
+                one;
+            let is_of_earlier = birth < self.start_times.latest(&engine);
             if is_older || !is_there || is_of_earlier {
                 continue;
             }
-            self.births.note(&engine, birth, now);
+            self.start_times.record(&engine, birth, now);
             let is_same = known.is_some_and(|known| {
                 known.birth == birth && known.holding == holding
             });
@@ -342,7 +346,7 @@
         let over = self.lapsed.pass(&self.rows, now);
         self.touch(over);
         let listed = &self.known.upstreams;
-        self.births.sweep(|id| listed.contains_key(id), now);
+        self.start_times.prune(|id| listed.contains_key(id), now);
         let known = &self.known;
         self.leaving.sweep(|start| known.of_start(start).is_some(), now);
     }
@@ -378,9 +382,9 @@
             return;
         };
         let listed = listed.clone();
-        let birth = self.births.of(id);
+        let birth = self.start_times.latest(id);
         let told = self.told.get(id).filter(|told| told.birth == birth);
-        let start = UpstreamStart { id: id.clone(), birth };
+        let start = UpstreamStart { id: id.clone(), started_at_ms: birth };
         // Entries may lag behind it for as long as the store is away.
         let leaves = listed.leaving || self.leaving.contains(&start);
         let upstream = as_of(listed, birth, leaves, told);
@@ -401,20 +405,22 @@
     leaves: bool,
     told: Option<&Told>,
 ) -> Arc<Upstream> {
-    let is_of_another = listed.birth.is_some() && listed.birth != birth;
+    let is_of_another =
+        listed.started_at_ms.is_some() && listed.started_at_ms != birth;
     let holding = match told {
         Some(told) => Some(told.holding.clone()),
         None if is_of_another => Some(Holding::default()),
         None => None,
     };
     let holding = holding.filter(|holding| *holding != listed.holding);
-    let is_as_listed = listed.birth == birth && listed.leaving == leaves;
+    let is_as_listed =
+        listed.started_at_ms == birth && listed.leaving == leaves;
     if holding.is_none() && is_as_listed {
         return listed;
     }
     let mut upstream = listed;
     let changed = Arc::make_mut(&mut upstream);
-    changed.birth = birth;
+    changed.started_at_ms = birth;
     changed.leaving = leaves;
     if let Some(holding) = holding {
         changed.holding = holding;
--- a/crates/valehold-core/src/fleet/listing.rs
+++ b/crates/valehold-core/src/fleet/listing.rs
@@ -112,7 +112,7 @@
     pub cold_for_ms: u64,
     /// When it started, in ms of its own clock, if it says so: another one
     /// under the same name is another start, which holds nothing of before.
-    pub birth: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// What it holds, if it runs models.
     pub holding: Holding,
 }
@@ -120,7 +120,10 @@
 impl Upstream {
     /// Returns which start of it this tells of.
     pub fn start(&self) -> UpstreamStart {
-        UpstreamStart { id: self.id.clone(), birth: self.birth }
+        UpstreamStart {
+            id: self.id.clone(),
+            started_at_ms: self.started_at_ms,
+        }
     }
 }
 
@@ -167,7 +170,7 @@
     /// Returns the entry of one start of an upstream.
     pub fn of_start(&self, start: &UpstreamStart) -> Option<&Arc<Upstream>> {
         let listed = self.upstreams.get(&start.id);
-        listed.filter(|one| one.birth == start.birth)
+        listed.filter(|one| one.started_at_ms == start.started_at_ms)
     }
 
     /// Takes changes in, if they are newer and none before them is missing.
--- a/crates/valehold-core/src/fleet/tests/cold.rs
+++ b/crates/valehold-core/src/fleet/tests/cold.rs
@@ -40,7 +40,7 @@
         slots: 4,
         leaving: false,
         cold_for_ms,
-        birth,
+        started_at_ms: birth,
         holding: Holding::default(),
     }
 }
--- a/crates/valehold-core/src/fleet/tests/evacuation.rs
+++ b/crates/valehold-core/src/fleet/tests/evacuation.rs
@@ -107,7 +107,7 @@
             slots: 4,
             leaving: false,
             cold_for_ms: 0,
-            birth: None,
+            started_at_ms: None,
             holding: Holding::default(),
         };
         (upstream.id.clone(), Arc::new(upstream))
--- a/crates/valehold-core/src/fleet/tests/known.rs
+++ b/crates/valehold-core/src/fleet/tests/known.rs
@@ -34,7 +34,7 @@
         slots: 4,
         leaving: false,
         cold_for_ms: 0,
-        birth: None,
+        started_at_ms: None,
         holding: holding(models),
     })
 }
@@ -47,7 +47,7 @@
 fn told(id: &str, sequence: u64, models: &[&str]) -> EngineHolding {
     EngineHolding {
         engine: UpstreamId::new(id),
-        birth: None,
+        started_at_ms: None,
         holding: holding(models),
         stamp: Stamp { epoch: 1, sequence },
     }
@@ -131,7 +131,7 @@
 
 fn born(birth: u64, id: &str, models: &[&str]) -> Arc<Upstream> {
     let mut upstream = engine(id, models);
-    Arc::make_mut(&mut upstream).birth = Some(birth);
+    Arc::make_mut(&mut upstream).started_at_ms = Some(birth);
     upstream
 }
 
@@ -141,11 +141,11 @@
     sequence: u64,
     models: &[&str],
 ) -> EngineHolding {
-    EngineHolding { birth: Some(birth), ..told(id, sequence, models) }
+    EngineHolding { started_at_ms: Some(birth), ..told(id, sequence, models) }
 }
 
 fn birth(known: &KnownUpstreams, id: &str) -> Option<u64> {
-    known.listing().upstreams.get(&UpstreamId::new(id))?.birth
+    known.listing().upstreams.get(&UpstreamId::new(id))?.started_at_ms
 }
 
 #[gtest]
--- a/crates/valehold-core/src/fleet/tests/lapsed.rs
+++ b/crates/valehold-core/src/fleet/tests/lapsed.rs
@@ -26,7 +26,7 @@
         slots: 4,
         leaving,
         cold_for_ms: 0,
-        birth: None,
+        started_at_ms: None,
         holding: Holding::default(),
     })
 }
--- a/crates/valehold-core/src/fleet/tests/leaving.rs
+++ b/crates/valehold-core/src/fleet/tests/leaving.rs
@@ -22,7 +22,10 @@
 }
 
 fn start(id: u8, birth: Option<u64>) -> UpstreamStart {
-    UpstreamStart { id: UpstreamId::new(format!("e{id}")), birth }
+    UpstreamStart {
+        id: UpstreamId::new(format!("e{id}")),
+        started_at_ms: birth,
+    }
 }
 
 fn entry(start: &UpstreamStart, leaving: bool) -> Arc<Upstream> {
@@ -34,7 +37,7 @@
         slots: 4,
         leaving,
         cold_for_ms: 0,
-        birth: start.birth,
+        started_at_ms: start.started_at_ms,
         holding: Holding::default(),
     })
 }
@@ -136,7 +139,12 @@
                 let stamp = Stamp { epoch: 1, sequence: self.version };
                 let engine = start(id, None).id;
                 let holding = Holding::default();
-                let told = EngineHolding { engine, birth, holding, stamp };
+                let told = EngineHolding {
+                    engine,
+                    started_at_ms: birth,
+                    holding,
+                    stamp,
+                };
                 self.known.tell(vec![told], self.now);
             }
             Word::Leaves { id, birth } => {
--- a/crates/valehold-core/src/fleet/tests/rest.rs
+++ b/crates/valehold-core/src/fleet/tests/rest.rs
@@ -15,7 +15,10 @@
 };
 
 fn start(id: u8) -> UpstreamStart {
-    UpstreamStart { id: UpstreamId::new(format!("e{id}")), birth: None }
+    UpstreamStart {
+        id: UpstreamId::new(format!("e{id}")),
+        started_at_ms: None,
+    }
 }
 
 fn at(ms: u64) -> Millis {
@@ -41,7 +44,7 @@
     expect_that!(rests.sight(&start(1), at(3_999)), eq(resting(1)));
     expect_that!(rests.sight(&start(1), at(4_000)), eq(AWAKE));
     expect_that!(rests.sight(&start(2), at(1_000)), eq(AWAKE));
-    let later = UpstreamStart { birth: Some(9), ..start(1) };
+    let later = UpstreamStart { started_at_ms: Some(9), ..start(1) };
     expect_that!(rests.sight(&later, at(1_000)), eq(AWAKE));
 }
 
--- a/crates/valehold-core/src/fleet/tests/turned_away.rs
+++ b/crates/valehold-core/src/fleet/tests/turned_away.rs
@@ -12,7 +12,7 @@
 };
 
 fn start(id: &str, birth: Option<u64>) -> UpstreamStart {
-    UpstreamStart { id: UpstreamId::new(id), birth }
+    UpstreamStart { id: UpstreamId::new(id), started_at_ms: birth }
 }
 
 fn at(ms: u64) -> Millis {
--- a/crates/valehold-core/src/fleet/tests/upstream_limit.rs
+++ b/crates/valehold-core/src/fleet/tests/upstream_limit.rs
@@ -23,7 +23,7 @@
 }
 
 fn start(birth: u64) -> UpstreamStart {
-    UpstreamStart { id: UpstreamId::new("e1"), birth: Some(birth) }
+    UpstreamStart { id: UpstreamId::new("e1"), started_at_ms: Some(birth) }
 }
 
 fn rate(per_second: f64) -> RequestRate {
--- a/crates/valehold-core/src/fleet/tests/weight_loads.rs
+++ b/crates/valehold-core/src/fleet/tests/weight_loads.rs
@@ -27,7 +27,7 @@
 
 fn place(engine: usize, sequence: u64) -> OrderPlace {
     let id = UpstreamId::new(format!("e{engine}"));
-    OrderPlace { start: UpstreamStart { id, birth: None }, sequence }
+    OrderPlace { start: UpstreamStart { id, started_at_ms: None }, sequence }
 }
 
 /// Plans so many loads, each at an engine of its own.
--- a/crates/valehold-core/src/fleet/weight_loads.rs
+++ b/crates/valehold-core/src/fleet/weight_loads.rs
@@ -122,7 +122,7 @@
 /// # use valehold_core::id::UpstreamId;
 /// let rate = LoadRate { per_second: 1.0, window_ms: 5_000 };
 /// let mut loads = WeightLoads::default();
-/// let start = UpstreamStart { id: UpstreamId::new("e1"), birth: None };
+/// let start = UpstreamStart { id: UpstreamId::new("e1"), started_at_ms: None };
 /// let place = OrderPlace { start, sequence: 0 };
 /// loads.plan(place.clone());
 /// assert_eq!(loads.count(rate, Millis::new(60_000)), 1);
--- a/crates/valehold-gateway/examples/fleet_costs.rs
+++ b/crates/valehold-gateway/examples/fleet_costs.rs
@@ -414,11 +414,11 @@
 
 fn start(number: usize) -> UpstreamStart {
     let id = UpstreamId::new(format!("i-{number:010x}"));
-    UpstreamStart { id, birth: Some(1_700_000_000_000) }
+    UpstreamStart { id, started_at_ms: Some(1_700_000_000_000) }
 }
 
 fn upstream(number: usize) -> Upstream {
-    let UpstreamStart { id, birth } = start(number);
+    let UpstreamStart { id, started_at_ms: birth } = start(number);
     let models = (0..MODELS_EACH)
         .map(|place| ModelName::new(format!("model-{}", number + place)));
     let models = models.map(|model| (model, Default::default())).collect();
@@ -430,7 +430,7 @@
         slots: 64,
         leaving: false,
         cold_for_ms: 0,
-        birth,
+        started_at_ms: birth,
         holding: Holding { sequence: 0, models },
     }
 }
--- a/crates/valehold-gateway/src/control/cold.rs
+++ b/crates/valehold-gateway/src/control/cold.rs
@@ -45,8 +45,8 @@
         let known = &self.upstreams.listing().upstreams;
         let differs = |entry: &&Arc<Upstream>| {
             known.get(&entry.id).is_none_or(|known| {
-                (known.cold_for_ms, known.birth)
-                    != (entry.cold_for_ms, entry.birth)
+                (known.cold_for_ms, known.started_at_ms)
+                    != (entry.cold_for_ms, entry.started_at_ms)
             })
         };
         listing.upstreams.values().filter(differs).cloned().collect()
--- a/crates/valehold-gateway/src/control/entry.rs
+++ b/crates/valehold-gateway/src/control/entry.rs
@@ -109,7 +109,7 @@
     /// Takes in what the list says. Nothing that was known, ordered or
     /// expected of an earlier start says anything of a later one.
     pub(super) fn list(&mut self, upstream: &Arc<Upstream>) {
-        if self.start.birth < upstream.birth {
+        if self.start.started_at_ms < upstream.started_at_ms {
             *self = Self::new(upstream);
             return;
         }
@@ -124,12 +124,12 @@
 
     /// Tells whether a report that states a birth is of a later start.
     pub(super) fn is_later(&self, birth: Option<u64>) -> bool {
-        self.start.birth < birth
+        self.start.started_at_ms < birth
     }
 
     /// Tells whether what states a birth, or none, is of this start.
     pub(super) fn is_of_this_start(&self, birth: Option<u64>) -> bool {
-        birth.is_none() || birth == self.start.birth
+        birth.is_none() || birth == self.start.started_at_ms
     }
 
     /// Begins anew with a later start, which has not been listed yet.
@@ -137,7 +137,8 @@
         let listed = Upstream::clone(&self.listed);
         let holding = Holding::default();
         let emptied = self.emptied;
-        let started = Arc::new(Upstream { birth, holding, ..listed });
+        let started =
+            Arc::new(Upstream { started_at_ms: birth, holding, ..listed });
         *self = Self { emptied, ..Self::new(&started) };
     }
 
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -280,7 +280,7 @@
         let entries = self.entries.iter().filter(|(id, one)| which(id, one));
         let told = entries.map(|(id, entry)| EngineHolding {
             engine: id.clone(),
-            birth: entry.start.birth,
+            started_at_ms: entry.start.started_at_ms,
             holding: entry.usable(),
             stamp: entry.stamp,
         });
--- a/crates/valehold-gateway/src/control/placer/orders.rs
+++ b/crates/valehold-gateway/src/control/placer/orders.rs
@@ -87,7 +87,7 @@
             let as_known = report.is_ok_and(|report| {
                 !report.busy
                     && (report.birth.is_none()
-                        || report.birth == order.engine.birth)
+                        || report.birth == order.engine.started_at_ms)
                     && report.holding == known
                     && has_source(&report, &order)
                     && fits(&report.holding, &order.wish, &spec)
--- a/crates/valehold-gateway/src/control/placer/tests.rs
+++ b/crates/valehold-gateway/src/control/placer/tests.rs
@@ -72,7 +72,7 @@
 }
 
 fn start(birth: u64) -> UpstreamStart {
-    UpstreamStart { id: UpstreamId::new("e1"), birth: Some(birth) }
+    UpstreamStart { id: UpstreamId::new("e1"), started_at_ms: Some(birth) }
 }
 
 fn holding(sequence: u64, models: &[&str]) -> Holding {
@@ -90,7 +90,7 @@
         slots: 4,
         leaving: false,
         cold_for_ms: 0,
-        birth: Some(birth),
+        started_at_ms: Some(birth),
         holding: holding(0, models),
     };
     let upstreams = [(upstream.id.clone(), Arc::new(upstream))];
@@ -130,7 +130,7 @@
     let before = word(&placer);
     placer.reported(&start(1), report(2, 0, &[]), at(100));
     let after = word(&placer);
-    expect_that!(after.birth, some(eq(2)));
+    expect_that!(after.started_at_ms, some(eq(2)));
     expect_that!(after.holding, eq(&holding(0, &[])));
     expect_that!(after.stamp, gt(before.stamp));
     expect_that!(placer.news(at(100)), len(eq(1)));
@@ -140,7 +140,7 @@
 fn an_entry_of_another_start_voids_what_was_known() {
     let mut placer = knowing();
     placer.listed(&list(2, &["gamma"]));
-    expect_that!(word(&placer).birth, some(eq(2)));
+    expect_that!(word(&placer).started_at_ms, some(eq(2)));
     expect_that!(word(&placer).holding, eq(&holding(0, &["gamma"])));
 }
 
@@ -339,7 +339,7 @@
         let copies = BTreeSet::new();
         let birth = Some(1);
         let report = EngineReport { birth, holding, copies, busy: false };
-        let start = UpstreamStart { id, birth };
+        let start = UpstreamStart { id, started_at_ms: birth };
         placer.reported(&start, Ok(report), at(0));
     }
     placer
--- a/crates/valehold-gateway/src/traffic/rights.rs
+++ b/crates/valehold-gateway/src/traffic/rights.rs
@@ -75,7 +75,7 @@
 /// for this.
 pub(super) fn may_have_restarted(app: &App, job: &Job, upstream: &Upstream) {
     let Some(spec) = job.cold_spec() else { return };
-    if upstream.birth.is_some() {
+    if upstream.started_at_ms.is_some() {
         let now = app.now();
         let mut book = app.shared.cold();
         book.belief.doubt(&upstream.id, spec.lasts_ms, 0, now);
--- a/crates/valehold-gateway/tests/outbox.rs
+++ b/crates/valehold-gateway/tests/outbox.rs
@@ -103,7 +103,7 @@
 fn holdings(count: usize) -> Message {
     let holdings = (0..count).map(|number| EngineHolding {
         engine: UpstreamId::new(format!("engine-{number}")),
-        birth: Some(1_700_000_000_000),
+        started_at_ms: Some(1_700_000_000_000),
         holding: Holding::default(),
         stamp: Stamp::default(),
     });
--- a/crates/valehold-gateway/tests/peer_bytes.rs
+++ b/crates/valehold-gateway/tests/peer_bytes.rs
@@ -50,7 +50,7 @@
 
 fn loads() -> Vec<UpstreamLoad> {
     let id = UpstreamId::new("u1");
-    let upstream = UpstreamStart { id, birth: Some(1) }.tag();
+    let upstream = UpstreamStart { id, started_at_ms: Some(1) }.tag();
     let load = Load { running: 3, waiting_tokens: 700 };
     vec![UpstreamLoad { upstream, load }]
 }
--- a/crates/valehold-gateway/tests/roster.rs
+++ b/crates/valehold-gateway/tests/roster.rs
@@ -118,7 +118,7 @@
 
 fn tag(upstream: &str) -> UpstreamTag {
     let id = UpstreamId::new(upstream);
-    UpstreamStart { id, birth: None }.tag()
+    UpstreamStart { id, started_at_ms: None }.tag()
 }
 
 #[gtest]
