--- a/crates/valehold-core/src/fleet/adapters.rs
+++ b/crates/valehold-core/src/fleet/adapters.rs
@@ -69,7 +69,7 @@
     let free = able
         .iter()
         .filter(|host| has_room(host.holding, &variant.model, spec))
-        .min_by_key(|host| host.holding.adapters());
+        .min_by_key(|host| host.holding.adapter_count());
     if let Some(host) = free {
         return Some(AdapterStep::Load(host.engine.clone()));
     }
@@ -92,12 +92,12 @@
     let holding =
         hosts.iter().filter(|host| host.holding.models.contains_key(model));
     let roomy = holding.filter(|host| has_room(host.holding, model, spec));
-    let best = roomy.min_by_key(|host| host.holding.adapters());
+    let best = roomy.min_by_key(|host| host.holding.adapter_count());
     best.map(|host| host.engine)
 }
 
 fn has_room(holding: &Holding, model: &ModelName, spec: &EngineSpec) -> bool {
-    if holding.adapters() >= spec.adapter_places {
+    if holding.adapter_count() >= spec.adapter_places {
         return false;
     }
     let size = spec.model(model).map_or(0, |model| model.adapter_size_mb);
@@ -118,7 +118,7 @@
     host: &AdapterHost<'_>,
     use_of: impl Fn(&Variant) -> AdapterUse,
 ) -> Option<(Variant, f64)> {
-    let all = host.holding.adapted();
+    let all = host.holding.adapter_variants();
     let old = all.filter(|variant| !host.young.contains_key(variant));
     old.map(|variant| (use_of(&variant), variant))
         .filter(|(used, _)| !used.runs)
--- a/crates/valehold-core/src/fleet/index.rs
+++ b/crates/valehold-core/src/fleet/index.rs
@@ -1,4 +1,7 @@
-//! Upstreams found by what they serve, without a walk over all of them.
+//! An index of the upstreams of a list by model and by service.
+//!
+//! The index finds the upstreams of a model or service without an iteration
+//! over all upstreams of the list.
 
 use std::sync::Arc;
 
@@ -7,18 +10,20 @@
 use super::listing::{Listing, Upstream};
 use crate::id::{ModelName, ServiceName, UpstreamId};
 
-type Ids = OrdSet<UpstreamId>;
+type UpstreamIds = OrdSet<UpstreamId>;
 
-/// Which upstreams hold each model, and which are of each service. A copy
-/// shares what it does not change with its original.
+/// The upstreams that hold each model and the upstreams of each service.
+///
+/// A clone shares unchanged parts with the original.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct UpstreamIndex {
-    by_model: OrdMap<ModelName, Ids>,
-    by_service: OrdMap<ServiceName, Ids>,
+    by_model: OrdMap<ModelName, UpstreamIds>,
+    by_service: OrdMap<ServiceName, UpstreamIds>,
 }
 
 impl UpstreamIndex {
-    /// Returns the upstreams of a list that hold a model.
+    /// Returns the upstreams of a list that hold a model, in the order of their
+    /// names.
     pub fn holding<'a>(
         &'a self,
         model: &ModelName,
@@ -28,8 +33,9 @@
         ids.filter_map(|id| listing.upstreams.get(id))
     }
 
-    /// Returns the upstreams of a list that are of a service.
-    pub fn of<'a>(
+    /// Returns the upstreams of a list that belong to a service, in the order
+    /// of their names.
+    pub fn of_service<'a>(
         &'a self,
         service: &ServiceName,
         listing: &'a Listing,
@@ -38,9 +44,9 @@
         ids.filter_map(|id| listing.upstreams.get(id))
     }
 
-    /// Takes in that an upstream is another than before: `None` where there
-    /// was, or is, none.
-    pub(super) fn change(
+    /// Replaces the entry of one upstream. `before` is `None` if the upstream
+    /// is new, and `after` is `None` if the upstream is removed.
+    pub(super) fn update(
         &mut self,
         before: Option<&Upstream>,
         after: Option<&Upstream>,
@@ -72,7 +78,7 @@
 }
 
 fn insert<K: Ord + Clone>(
-    index: &mut OrdMap<K, Ids>,
+    index: &mut OrdMap<K, UpstreamIds>,
     key: &K,
     id: &UpstreamId,
 ) {
@@ -80,7 +86,7 @@
 }
 
 fn remove<K: Ord + Clone>(
-    index: &mut OrdMap<K, Ids>,
+    index: &mut OrdMap<K, UpstreamIds>,
     key: &K,
     id: &UpstreamId,
 ) {
--- a/crates/valehold-core/src/fleet/known.rs
+++ b/crates/valehold-core/src/fleet/known.rs
@@ -167,10 +167,10 @@
         let changed = touched.iter().filter_map(|id| rows.get(id).cloned());
         let gone = touched.iter().filter(|id| !rows.contains_key(*id));
         let delta = ListingDelta {
-            before,
+            base_version: before,
             version: self.rows.version,
             changed: changed.collect(),
-            gone: gone.cloned().collect(),
+            removed: gone.cloned().collect(),
             after_outage: false,
         };
         let upstreams = rows.len();
@@ -203,7 +203,7 @@
         let upstreams = self.known.upstreams.len();
         for entry in entries.filter(|entry| !entry.leaving) {
             let start = entry.start();
-            if self.rows.of_start(&start).is_some_and(|known| known.leaving) {
+            if self.rows.get_start(&start).is_some_and(|known| known.leaving) {
                 self.leaving.note(&start, upstreams, now);
             }
         }
@@ -251,7 +251,7 @@
             self.keep_leaving(delta.changed.iter(), now);
         }
         let before = self.rows.clone();
-        let gone = delta.gone.iter().filter(|_| after_outage);
+        let gone = delta.removed.iter().filter(|_| after_outage);
         let lapsed: Vec<Arc<Upstream>> = gone
             .filter_map(|id| self.rows.upstreams.get(id).cloned())
             .collect();
@@ -263,7 +263,7 @@
         for one in &lapsed {
             self.lapsed.keep(one, now);
         }
-        self.note_gone(&before, &delta.gone, now);
+        self.note_gone(&before, &delta.removed, now);
         for one in &delta.changed {
             self.gone.remove(&one.start());
         }
@@ -276,7 +276,7 @@
                 self.told.remove(id);
             }
         }
-        self.touch(changed.chain(&delta.gone).cloned());
+        self.touch(changed.chain(&delta.removed).cloned());
         self.pass(now);
         true
     }
@@ -348,7 +348,7 @@
         let listed = &self.known.upstreams;
         self.start_times.prune(|id| listed.contains_key(id), now);
         let known = &self.known;
-        self.leaving.sweep(|start| known.of_start(start).is_some(), now);
+        self.leaving.sweep(|start| known.get_start(start).is_some(), now);
     }
 
     /// Tells whether something changed since changes were last taken.
@@ -378,7 +378,7 @@
             self.told.remove(id);
             let known = Arc::make_mut(&mut self.known);
             let before = known.upstreams.remove(id);
-            self.index.change(before.as_deref(), None);
+            self.index.update(before.as_deref(), None);
             return;
         };
         let listed = listed.clone();
@@ -393,7 +393,7 @@
         }
         let known = Arc::make_mut(&mut self.known);
         let before = known.upstreams.insert(id.clone(), upstream.clone());
-        self.index.change(before.as_deref(), Some(&upstream));
+        self.index.update(before.as_deref(), Some(&upstream));
     }
 }
 
--- a/crates/valehold-core/src/fleet/listing.rs
+++ b/crates/valehold-core/src/fleet/listing.rs
@@ -1,4 +1,4 @@
-//! The upstreams that there are, as they list themselves.
+//! The platform's list of upstreams, in which each upstream registers itself.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,24 +15,24 @@
     AdapterName, DataCentreId, ModelName, ServiceName, UpstreamId,
 };
 
-/// A model, alone or with one of its adapters.
+/// A model without an adapter, or with one of its adapters.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Variant {
     /// The model.
     pub model: ModelName,
-    /// The adapter, if any.
+    /// The adapter, or `None` for the model without an adapter.
     pub adapter: Option<AdapterName>,
 }
 
 impl Variant {
-    /// Makes the variant of a model without an adapter.
+    /// Returns the variant of a model without an adapter.
     pub fn plain(model: impl AsRef<str>) -> Self {
         Self { model: ModelName::new(model), adapter: None }
     }
 
-    /// Makes the variant of a model with an adapter.
+    /// Returns the variant of a model with an adapter.
     pub fn adapted(model: impl AsRef<str>, adapter: impl AsRef<str>) -> Self {
         let adapter = Some(AdapterName::new(adapter));
         Self { model: ModelName::new(model), adapter }
@@ -40,7 +40,7 @@
 }
 
 impl From<&str> for Variant {
-    /// Reads a model, and after a slash an adapter of it.
+    /// Parses `model` or `model/adapter`.
     fn from(text: &str) -> Self {
         match text.split_once('/') {
             Some((model, adapter)) => Self::adapted(model, adapter),
@@ -58,27 +58,27 @@
     }
 }
 
-/// What an engine holds, as of a number of orders that it has taken.
+/// The models and adapters that an engine holds after a number of orders.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
-    /// How many orders it has taken since its start; 0 in the list, which
-    /// does not say.
+    /// The number of orders that the engine has accepted since its start; 0 in
+    /// entries of the platform's list, which does not contain the number.
     pub sequence: u64,
-    /// Its models, each with the adapters that are there or on their way.
+    /// The engine's models, each with the adapters that are loaded or loading.
     pub models: BTreeMap<ModelName, BTreeSet<AdapterName>>,
 }
 
 impl Holding {
-    /// Tells whether a request for a variant can run here.
-    pub fn has(&self, variant: &Variant) -> bool {
+    /// Returns whether the engine can run requests for a variant.
+    pub fn can_run(&self, variant: &Variant) -> bool {
         self.models.get(&variant.model).is_some_and(|adapters| {
-            let wanted = variant.adapter.as_ref();
-            wanted.is_none_or(|adapter| adapters.contains(adapter))
+            let requested = variant.adapter.as_ref();
+            requested.is_none_or(|adapter| adapters.contains(adapter))
         })
     }
 
-    /// Returns each of its adapters, with the model.
-    pub fn adapted(&self) -> impl Iterator<Item = Variant> + '_ {
+    /// Returns a variant for each adapter of each model.
+    pub fn adapter_variants(&self) -> impl Iterator<Item = Variant> + '_ {
         self.models.iter().flat_map(|(model, adapters)| {
             adapters.iter().map(|adapter| Variant {
                 model: model.clone(),
@@ -87,38 +87,42 @@
         })
     }
 
-    /// Counts the adapters of all models.
-    pub fn adapters(&self) -> usize {
+    /// Returns the number of adapters of all models.
+    pub fn adapter_count(&self) -> usize {
         self.models.values().map(BTreeSet::len).sum()
     }
 }
 
-/// One upstream: an engine, or a process of a plain service.
+/// The entry of one upstream: an engine, or a process of a plain service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Its name, under which it may start again.
+    /// The name of the upstream, which stays the same after a restart.
     pub id: UpstreamId,
-    /// The service that it belongs to.
+    /// The service that the upstream belongs to.
     pub service: ServiceName,
-    /// Where it is reached.
+    /// The address that receives requests.
     pub address: SocketAddr,
-    /// The data centre that it stands in.
+    /// The data centre of the upstream.
     pub data_centre: DataCentreId,
-    /// Requests that it works on at once.
+    /// The number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// Whether it said that it leaves.
+    /// Whether the upstream has reported that it is leaving. A leaving
+    /// upstream gets no new requests.
     pub leaving: bool,
-    /// For how much longer it is cold, in ms, as of its last word.
+    /// The remaining time for which the upstream is cold, in ms, as of its
+    /// last report.
     pub cold_for_ms: u64,
-    /// When it started, in ms of its own clock, if it says so: another one
-    /// under the same name is another start, which holds nothing of before.
+    /// The start time in ms of the upstream's own clock, or `None` if the
+    /// upstream does not report a start time. A different start time under the
+    /// same name is a restart, after which the upstream has lost all models
+    /// that it held before.
     pub started_at_ms: Option<u64>,
-    /// What it holds, if it runs models.
+    /// The models that the upstream holds; empty for a plain service.
     pub holding: Holding,
 }
 
 impl Upstream {
-    /// Returns which start of it this tells of.
+    /// Returns the start of the upstream that this entry describes.
     pub fn start(&self) -> UpstreamStart {
         UpstreamStart {
             id: self.id.clone(),
@@ -130,35 +134,37 @@
 /// Changes of the platform's list from one version to a later one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListingDelta {
-    /// The version that they start from: every later change is among them.
-    pub before: u64,
-    /// The version of the newest of them.
+    /// The version that the changes start from. The delta contains every change
+    /// after this version.
+    pub base_version: u64,
+    /// The version of the newest change.
     pub version: u64,
-    /// Upstreams that are new or differ.
+    /// Entries that are new or differ.
     pub changed: Vec<Arc<Upstream>>,
-    /// Upstreams that are gone.
-    pub gone: Vec<UpstreamId>,
-    /// Whether the store was away until a moment ago, so that some of those
-    /// that are gone may only have lapsed.
+    /// Upstreams that were removed.
+    pub removed: Vec<UpstreamId>,
+    /// Whether the platform's store was unavailable until shortly before, so
+    /// that some removed entries may only have expired during the outage.
     pub after_outage: bool,
 }
 
-/// Upstreams by their names. A copy shares what it does not change with its
-/// original, so that a view costs what changed since the one before.
+/// Entries by the names of the upstreams. A clone shares unchanged parts with
+/// the original, so that the cost of a new snapshot depends on the number of
+/// changes since the previous snapshot.
 pub type Upstreams = OrdMap<UpstreamId, Arc<Upstream>>;
 
-/// All upstreams as of one version of the platform's list.
+/// All upstreams at one version of the platform's list.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The version; a greater one is newer.
+    /// The version of the list. A list with a greater version is newer.
     pub version: u64,
-    /// The upstreams.
+    /// The entries of the list.
     pub upstreams: Upstreams,
 }
 
 impl Listing {
-    /// Returns the upstreams of a service that take new work.
-    pub fn of<'a>(
+    /// Returns the upstreams of a service that are not leaving.
+    pub fn available<'a>(
         &'a self,
         service: &'a ServiceName,
     ) -> impl Iterator<Item = &'a Arc<Upstream>> {
@@ -167,22 +173,25 @@
             .filter(move |u| u.service == *service && !u.leaving)
     }
 
-    /// Returns the entry of one start of an upstream.
-    pub fn of_start(&self, start: &UpstreamStart) -> Option<&Arc<Upstream>> {
+    /// Returns the entry of one start of an upstream, or `None` if the list has
+    /// no entry of the upstream or only an entry of another start.
+    pub fn get_start(&self, start: &UpstreamStart) -> Option<&Arc<Upstream>> {
         let listed = self.upstreams.get(&start.id);
         listed.filter(|one| one.started_at_ms == start.started_at_ms)
     }
 
-    /// Takes changes in, if they are newer and none before them is missing.
+    /// Applies a delta and returns `true`. Changes nothing and returns `false`
+    /// if the list already contains the changes, or if changes between the list
+    /// and the delta are missing.
     pub fn apply(&mut self, delta: &ListingDelta) -> bool {
-        if delta.before > self.version || delta.version <= self.version {
+        if delta.base_version > self.version || delta.version <= self.version {
             return false;
         }
         self.version = delta.version;
         for upstream in &delta.changed {
             self.upstreams.insert(upstream.id.clone(), upstream.clone());
         }
-        for id in &delta.gone {
+        for id in &delta.removed {
             self.upstreams.remove(id);
         }
         true
--- a/crates/valehold-core/src/fleet/recent.rs
+++ b/crates/valehold-core/src/fleet/recent.rs
@@ -24,7 +24,7 @@
     /// Takes in the next changes of a list with so many upstreams.
     pub fn note(&mut self, delta: ListingDelta, upstreams: usize) {
         let last = self.deltas.back().map(|last| last.version);
-        if last.is_some_and(|last| delta.before > last) {
+        if last.is_some_and(|last| delta.base_version > last) {
             *self = Self::default();
         }
         self.named += named(&delta);
@@ -46,7 +46,7 @@
             .skip_while(|delta| delta.version <= version)
             .collect();
         let (first, last) = (newer.first()?, newer.last()?);
-        if first.before > version {
+        if first.base_version > version {
             return None;
         }
         let mut changed: BTreeMap<&UpstreamId, &Arc<Upstream>> =
@@ -57,21 +57,21 @@
                 gone.remove(&upstream.id);
                 changed.insert(&upstream.id, upstream);
             }
-            for id in &delta.gone {
+            for id in &delta.removed {
                 changed.remove(id);
                 gone.insert(id);
             }
         }
         Some(ListingDelta {
-            before: first.before,
+            base_version: first.base_version,
             version: last.version,
             changed: changed.into_values().cloned().collect(),
-            gone: gone.into_iter().cloned().collect(),
+            removed: gone.into_iter().cloned().collect(),
             after_outage: false,
         })
     }
 }
 
 fn named(delta: &ListingDelta) -> usize {
-    delta.changed.len() + delta.gone.len()
+    delta.changed.len() + delta.removed.len()
 }
--- a/crates/valehold-core/src/fleet/tests/known.rs
+++ b/crates/valehold-core/src/fleet/tests/known.rs
@@ -55,17 +55,17 @@
 
 fn delta(before: u64, version: u64) -> ListingDelta {
     ListingDelta {
-        before,
+        base_version: before,
         version,
         changed: Vec::new(),
-        gone: Vec::new(),
+        removed: Vec::new(),
         after_outage: false,
     }
 }
 
 fn holds(known: &KnownUpstreams, id: &str, model: &str) -> bool {
     let upstream = known.listing().upstreams.get(&UpstreamId::new(id));
-    upstream.is_some_and(|one| one.holding.has(&Variant::plain(model)))
+    upstream.is_some_and(|one| one.holding.can_run(&Variant::plain(model)))
 }
 
 #[gtest]
@@ -105,7 +105,7 @@
     known.replace(list(5, &[engine("e1", &["alpha"])]), false, at(0));
     expect_false!(known.replace(list(4, &[]), false, at(1)));
     let mut change = delta(6, 7);
-    change.gone.push(UpstreamId::new("e1"));
+    change.removed.push(UpstreamId::new("e1"));
     expect_false!(known.apply(&change, at(2)));
     expect_true!(holds(&known, "e1", "alpha"));
     expect_that!(known.version(), eq(5));
@@ -184,7 +184,7 @@
     expect_that!(known.version(), eq(7));
     // Also once the later one is gone.
     let mut change = delta(7, 8);
-    change.gone.push(UpstreamId::new("e1"));
+    change.removed.push(UpstreamId::new("e1"));
     expect_true!(known.apply(&change, at(30)));
     let later = Listing { version: 9, ..late };
     expect_true!(known.replace(later, false, at(40)));
@@ -269,7 +269,7 @@
     let service = ServiceName::new("engines");
     let all = listing.upstreams.values();
     let of_service = all.filter(|upstream| upstream.service == service);
-    by_model && index.of(&service, listing).eq(of_service)
+    by_model && index.of_service(&service, listing).eq(of_service)
 }
 
 /// Tells whether whoever was left behind has the newest list after the changes
@@ -315,7 +315,7 @@
                         let mut change = delta(known.version(), version + 1);
                         change.changed = engines_of(some);
                         let gone = gone.iter().map(|id| ENGINES[*id]);
-                        change.gone = gone.map(UpstreamId::new).collect();
+                        change.removed = gone.map(UpstreamId::new).collect();
                         version += u64::from(known.apply(&change, now));
                     }
                     Step::Tell(engine, sequence, model) => {
@@ -361,7 +361,7 @@
     later.push(engine("new", &["alpha"]));
     known.replace(list(9, &later), false, at(100));
     let missed = known.recent().since(3).unwrap();
-    expect_that!((missed.before, missed.version), eq((3, 9)));
+    expect_that!((missed.base_version, missed.version), eq((3, 9)));
     let names = missed.changed.iter().map(|one| one.id.as_str());
     expect_that!(names.collect::<Vec<_>>(), eq(&vec!["e3", "new"]));
 }
@@ -388,7 +388,7 @@
     let known = changed_often(4_000, 100);
     let missed = known.recent().since(98).unwrap();
     expect_that!(missed.changed.len(), eq(3));
-    expect_that!((missed.before, missed.version), eq((98, 101)));
+    expect_that!((missed.base_version, missed.version), eq((98, 101)));
     // Nothing is new, or more than is kept.
     expect_that!(known.recent().since(101), none());
     expect_that!(known.recent().since(0), none());
@@ -416,7 +416,7 @@
     let leaving = Arc::new(Upstream { leaving: true, ..(*all[0]).clone() });
     let said = ListingDelta {
         changed: vec![leaving],
-        gone: vec![UpstreamId::new("e2")],
+        removed: vec![UpstreamId::new("e2")],
         ..delta(5, 9)
     };
     expect_true!(known.apply(&said, at(1_000)));
@@ -450,7 +450,7 @@
     let mut told = KnownUpstreams::default();
     told.replace(list(5, &all), false, at(0));
     let gone = vec![UpstreamId::new("e2")];
-    let missing = ListingDelta { gone, ..delta(5, later(3)) };
+    let missing = ListingDelta { removed: gone, ..delta(5, later(3)) };
     expect_true!(told.apply(&missing, at(1_000)));
     expect_true!(is_used(&told, "e2"));
     told.pass(at(2_000));
--- a/crates/valehold-core/src/fleet/tests/leaving.rs
+++ b/crates/valehold-core/src/fleet/tests/leaving.rs
@@ -105,10 +105,10 @@
         let before = self.known.version();
         self.version += 1;
         let mut change = ListingDelta {
-            before,
+            base_version: before,
             version: self.version,
             changed: Vec::new(),
-            gone: Vec::new(),
+            removed: Vec::new(),
             after_outage: false,
         };
         delta(&mut change);
@@ -132,7 +132,7 @@
                 self.change(|delta| delta.changed.push(changed));
             }
             Word::Gone { id, after_outage } => self.change(|delta| {
-                delta.gone.push(start(id, None).id);
+                delta.removed.push(start(id, None).id);
                 delta.after_outage = after_outage;
             }),
             Word::Told { id, birth } => {
@@ -175,7 +175,7 @@
             }
             run.take(word);
             let service = ServiceName::new(SERVICE);
-            for upstream in run.known.listing().of(&service) {
+            for upstream in run.known.listing().available(&service) {
                 prop_assert!(!run.said.contains(&upstream.start()));
             }
         }
--- a/crates/valehold-gateway/examples/fleet_costs.rs
+++ b/crates/valehold-gateway/examples/fleet_costs.rs
@@ -257,10 +257,10 @@
 
     fn crash_bytes(&self) -> f64 {
         let delta = ListingDelta {
-            before: 1,
+            base_version: 1,
             version: 21,
             changed: Vec::new(),
-            gone: (0..CRASHED).map(|number| start(number).id).collect(),
+            removed: (0..CRASHED).map(|number| start(number).id).collect(),
             after_outage: false,
         };
         bytes_of(&Message::Listed(delta)) as f64
@@ -306,10 +306,10 @@
                 Arc::new(upstream)
             });
             let delta = ListingDelta {
-                before: version,
+                base_version: version,
                 version: version + 1,
                 changed: changed.collect(),
-                gone: Vec::new(),
+                removed: Vec::new(),
                 after_outage: false,
             };
             version += 1;
--- a/crates/valehold-gateway/src/control/entry.rs
+++ b/crates/valehold-gateway/src/control/entry.rs
@@ -181,7 +181,7 @@
 
     /// Tells whether it takes requests for a variant.
     pub(super) fn serves(&self, variant: &Variant) -> bool {
-        self.holding.has(variant)
+        self.holding.can_run(variant)
             && self.unloading.as_ref() != Some(&variant.model)
     }
 
--- a/crates/valehold-gateway/src/control/upstreams.rs
+++ b/crates/valehold-gateway/src/control/upstreams.rs
@@ -34,8 +34,13 @@
         let changed = self.without_cooling(changed, now);
         let before = self.upstreams.version();
         let after_outage = self.store_presence.has_just_returned(now);
-        let delta =
-            ListingDelta { before, version, changed, gone, after_outage };
+        let delta = ListingDelta {
+            base_version: before,
+            version,
+            changed,
+            removed: gone,
+            after_outage,
+        };
         if self.take_delta(&delta, now) {
             self.send_all(&Message::Listed(delta));
         }
--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -73,7 +73,7 @@
     view: &'a View,
     job: &'a Job,
 ) -> impl Iterator<Item = &'a Arc<Upstream>> {
-    let all = view.index.of(&job.service_name, &view.listing);
+    let all = view.index.of_service(&job.service_name, &view.listing);
     all.filter(|upstream| !upstream.leaving)
 }
 
@@ -87,12 +87,12 @@
     let of_model = variant.into_iter().flat_map(|variant| {
         let all = view.index.holding(&variant.model, &view.listing);
         all.filter(|one| {
-            one.service == job.service_name && one.holding.has(variant)
+            one.service == job.service_name && one.holding.can_run(variant)
         })
     });
     let of_service = match variant {
         Some(_) => None,
-        None => Some(view.index.of(&job.service_name, &view.listing)),
+        None => Some(view.index.of_service(&job.service_name, &view.listing)),
     };
     of_model.chain(of_service.into_iter().flatten())
 }
--- a/crates/valehold-gateway/src/traffic/exchange/waiting.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/waiting.rs
@@ -160,7 +160,7 @@
         let holds_model = variant.is_some_and(|variant| {
             let model = Variant::plain(variant.model.as_str());
             let mut usable = usable(&self.app, &view, &self.job);
-            usable.any(|upstream| upstream.holding.has(&model))
+            usable.any(|upstream| upstream.holding.can_run(&model))
         });
         match (view.has_holder, holds_model) {
             (false, _) => NO_HOLDER_COME_BACK_MS,
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -175,7 +175,7 @@
         let now = self.now();
         let view = self.shared.view.load();
         let listing = &view.listing;
-        let known = |start: &UpstreamStart| listing.of_start(start).is_some();
+        let known = |start: &UpstreamStart| listing.get_start(start).is_some();
         self.health.borrow_mut().retain(|id, _| known(id));
         self.paces.borrow_mut().retain(|id, _| known(id));
         self.turned_away.borrow_mut().sweep(known, now);
@@ -186,7 +186,7 @@
         self.shared.upstream_limits().sweep(known);
         // Who leaves can end sooner without connections that rest.
         self.pool.sweep(|start| {
-            listing.of_start(start).is_some_and(|one| !one.leaving)
+            listing.get_start(start).is_some_and(|one| !one.leaving)
         });
     }
 
