--- a/crates/valehold-core/src/fleet/known.rs
+++ b/crates/valehold-core/src/fleet/known.rs
@@ -174,7 +174,7 @@
             after_outage: false,
         };
         let upstreams = rows.len();
-        Arc::make_mut(&mut self.recent).note(delta, upstreams);
+        Arc::make_mut(&mut self.recent).record(delta, upstreams);
     }
 
     /// Leaves out of a list that the store has from a copy what it said and
@@ -259,7 +259,7 @@
             return false;
         }
         let upstreams = self.rows.upstreams.len();
-        Arc::make_mut(&mut self.recent).note(delta.clone(), upstreams);
+        Arc::make_mut(&mut self.recent).record(delta.clone(), upstreams);
         for one in &lapsed {
             self.lapsed.keep(one, now);
         }
--- a/crates/valehold-core/src/fleet/recent.rs
+++ b/crates/valehold-core/src/fleet/recent.rs
@@ -1,4 +1,7 @@
-//! The latest changes of the platform's list, for whoever is a little behind.
+//! The most recent changes of the platform's list.
+//!
+//! A peer whose list is a few versions old gets these changes instead of the
+//! whole list.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -8,37 +11,42 @@
 use super::listing::{ListingDelta, Upstream};
 use crate::id::UpstreamId;
 
-/// Which part of the list changes may be and still be worth telling by
-/// themselves: a whole list takes as much as changes of all.
-const WORTH_PART: usize = 2;
+/// Changes are kept as long as the number of their entries is at most the
+/// number of listed upstreams divided by this. The whole list is as large as
+/// changes of all upstreams, so more changes would save little.
+const LIST_SIZE_DIVISOR: usize = 2;
 
-/// The latest changes of a list, without a gap between them.
+/// The most recent changes of a list, without a gap between the deltas.
 #[derive(Debug, Clone, Default)]
 pub struct RecentChanges {
     deltas: VecDeque<Arc<ListingDelta>>,
-    /// How many upstreams these name together.
-    named: usize,
+    /// The number of changed and removed entries in all deltas.
+    entries: usize,
 }
 
 impl RecentChanges {
-    /// Takes in the next changes of a list with so many upstreams.
-    pub fn note(&mut self, delta: ListingDelta, upstreams: usize) {
+    /// Adds the next delta of a list that has `upstreams` entries. Discards all
+    /// earlier deltas if changes between the last delta and this one are
+    /// missing, and the oldest deltas if there are too many entries.
+    pub fn record(&mut self, delta: ListingDelta, upstreams: usize) {
         let last = self.deltas.back().map(|last| last.version);
         if last.is_some_and(|last| delta.base_version > last) {
             *self = Self::default();
         }
-        self.named += named(&delta);
+        self.entries += entry_count(&delta);
         self.deltas.push_back(Arc::new(delta));
-        while self.named > upstreams / WORTH_PART
+        while self.entries > upstreams / LIST_SIZE_DIVISOR
             && let Some(oldest) = self.deltas.pop_front()
         {
-            self.named -= named(&oldest);
+            self.entries -= entry_count(&oldest);
         }
     }
 
-    /// Returns all changes since a version as one; `None` if some of them are
-    /// not known any more, or there are none. Whether the store was away is
-    /// for who takes them in to say.
+    /// Returns all changes since a version as one delta, or `None` if there are
+    /// no such changes or some of the changes are no longer kept.
+    ///
+    /// `after_outage` of the delta is always `false`: the caller that applies
+    /// the delta has to set the field.
     pub fn since(&self, version: u64) -> Option<ListingDelta> {
         let newer: Vec<&Arc<ListingDelta>> = self
             .deltas
@@ -51,27 +59,27 @@
         }
         let mut changed: BTreeMap<&UpstreamId, &Arc<Upstream>> =
             BTreeMap::new();
-        let mut gone: BTreeSet<&UpstreamId> = BTreeSet::new();
+        let mut removed: BTreeSet<&UpstreamId> = BTreeSet::new();
         for delta in &newer {
             for upstream in &delta.changed {
-                gone.remove(&upstream.id);
+                removed.remove(&upstream.id);
                 changed.insert(&upstream.id, upstream);
             }
             for id in &delta.removed {
                 changed.remove(id);
-                gone.insert(id);
+                removed.insert(id);
             }
         }
         Some(ListingDelta {
             base_version: first.base_version,
             version: last.version,
             changed: changed.into_values().cloned().collect(),
-            removed: gone.into_iter().cloned().collect(),
+            removed: removed.into_iter().cloned().collect(),
             after_outage: false,
         })
     }
 }
 
-fn named(delta: &ListingDelta) -> usize {
+fn entry_count(delta: &ListingDelta) -> usize {
     delta.changed.len() + delta.removed.len()
 }
