--- a/crates/valehold-core/src/fleet/store_version.rs
+++ b/crates/valehold-core/src/fleet/store_version.rs
@@ -1,39 +1,41 @@
-//! Versions of the platform's store that never go back.
+//! Versions of the platform's store that rise even if the store is restored.
 //!
-//! The store gives out versions that rise with each change. It may come back
-//! from an older copy of itself: then its versions go back, and are given out
-//! again. It counts these returns in its era, so that an era and a version in
-//! it together always rise. They are kept as one number, which everything that
-//! compares versions may go on to compare.
+//! The store assigns a rising version to each change. After a restore from an
+//! older copy, the store's versions go back and are assigned again. The store
+//! counts its restores in an era, so the pair of era and version always rises.
+//! The pair is packed into one number, so that code that compares plain
+//! versions works unchanged.
 
-/// How many bits of the number a version has: a store with a million changes a
-/// second needs half a year for as many.
+/// The number of bits of the version in a packed number. A store with a
+/// million changes per second reaches this limit after half a year.
 const VERSION_BITS: u32 = 44;
 
-/// A version of the store, in one of its eras.
+/// A version of the store together with its era.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StoreVersion {
-    /// How often the store came back from a copy; 0 if it does not say.
+    /// The number of restores of the store from a copy; 0 if the store does
+    /// not report an era.
     pub era: u64,
-    /// The version in that era.
+    /// The version within the era.
     pub version: u64,
 }
 
 impl StoreVersion {
-    /// Returns the number, which is greater than that of each earlier version,
-    /// and the version itself in the first era.
-    pub const fn rising(self) -> u64 {
+    /// Returns the packed number, which is greater than the packed number of
+    /// each earlier version. In era 0 it is the version itself.
+    pub const fn pack(self) -> u64 {
         (self.era << VERSION_BITS) | self.version
     }
 
-    /// Returns the version that has a number.
-    pub const fn of(rising: u64) -> Self {
-        let era = rising >> VERSION_BITS;
-        Self { era, version: rising - (era << VERSION_BITS) }
+    /// Returns the era and version of a packed number.
+    pub const fn unpack(packed: u64) -> Self {
+        let era = packed >> VERSION_BITS;
+        Self { era, version: packed - (era << VERSION_BITS) }
     }
 
-    /// Tells whether the store came back from a copy between two numbers.
-    pub const fn is_later_era(rising: u64, before: u64) -> bool {
-        Self::of(rising).era > Self::of(before).era
+    /// Returns whether the store was restored from a copy between the packed
+    /// numbers `before` and `packed`.
+    pub const fn is_later_era(packed: u64, before: u64) -> bool {
+        Self::unpack(packed).era > Self::unpack(before).era
     }
 }
--- a/crates/valehold-core/src/fleet/tests/evacuation.rs
+++ b/crates/valehold-core/src/fleet/tests/evacuation.rs
@@ -198,7 +198,7 @@
 /// taken back, or has stood for ten seconds.
 #[gtest]
 fn an_order_stands_though_the_store_came_back_without_it() {
-    let later = |version| StoreVersion { era: 1, version }.rising();
+    let later = |version| StoreVersion { era: 1, version }.pack();
     let emptied = || {
         let mut view = EvacuationView::default();
         view.hear(orders(4, &[]), 1_000, at(0));
--- a/crates/valehold-core/src/fleet/tests/known.rs
+++ b/crates/valehold-core/src/fleet/tests/known.rs
@@ -399,7 +399,7 @@
 
 /// Returns a version of the store after it came back from a copy.
 fn later(version: u64) -> u64 {
-    StoreVersion { era: 1, version }.rising()
+    StoreVersion { era: 1, version }.pack()
 }
 
 fn is_used(known: &KnownUpstreams, id: &str) -> bool {
--- a/crates/valehold-gateway/src/control/lease.rs
+++ b/crates/valehold-gateway/src/control/lease.rs
@@ -385,7 +385,7 @@
     /// What was said of the lease in an earlier one says nothing of the row
     /// that stands there now.
     fn note_era(&mut self, version: u64) -> bool {
-        let era = StoreVersion::of(version).era;
+        let era = StoreVersion::unpack(version).era;
         if era > self.era {
             self.era = era;
             self.restored = None;
--- a/crates/valehold-gateway/src/control/lease/tests.rs
+++ b/crates/valehold-gateway/src/control/lease/tests.rs
@@ -70,7 +70,7 @@
     /// Comes back from a copy.
     fn come_back_from(&self, copy: &VersionedLease) {
         let era = self.era.fetch_add(1, Ordering::SeqCst) + 1;
-        let version = StoreVersion { era, version: 0 }.rising();
+        let version = StoreVersion { era, version: 0 }.pack();
         let row = copy.row.clone();
         *self.lease.lock().unwrap() = VersionedLease { version, row };
         self.is_restored.store(true, Ordering::SeqCst);
@@ -114,8 +114,8 @@
     ) -> Answer<'a, LeaseWrite> {
         let mut lease = self.lease.lock().unwrap();
         let era = self.era.load(Ordering::SeqCst);
-        if StoreVersion::of(version).era != era {
-            let version = StoreVersion { era, version: 0 }.rising();
+        if StoreVersion::unpack(version).era != era {
+            let version = StoreVersion { era, version: 0 }.pack();
             return async move { Ok(LeaseWrite::OtherEra { version }) }
                 .boxed();
         }
--- a/crates/valehold-gateway/src/control/store_sight.rs
+++ b/crates/valehold-gateway/src/control/store_sight.rs
@@ -66,7 +66,7 @@
     /// Notes the store's era, by the version of an answer: what was recorded in
     /// an earlier one may be gone.
     pub(super) fn note_era(&mut self, version: u64) {
-        let era = StoreVersion::of(version).era;
+        let era = StoreVersion::unpack(version).era;
         let before = self.store_era;
         if before.is_some_and(|before| era <= before) {
             return;
