--- a/crates/valehold-core/src/fleet/known.rs
+++ b/crates/valehold-core/src/fleet/known.rs
@@ -343,7 +343,7 @@
 
     /// Lets time pass for those that fell off the list.
     pub fn pass(&mut self, now: Millis) {
-        let over = self.lapsed.pass(&self.rows, now);
+        let over = self.lapsed.prune(&self.rows, now);
         self.touch(over);
         let listed = &self.known.upstreams;
         self.start_times.prune(|id| listed.contains_key(id), now);
--- a/crates/valehold-core/src/fleet/lapsed.rs
+++ b/crates/valehold-core/src/fleet/lapsed.rs
@@ -1,67 +1,71 @@
-//! Upstreams that fell off the list while the platform's store was away.
+//! Upstreams whose list entries lapsed during an outage of the platform's
+//! store.
 //!
-//! Upstreams write to the list in the store. While that is away they cannot,
-//! and their entries lapse although they serve on. Those that live are back
-//! on the list soon after the store is; who is still missing then is gone.
-//! Those that are missing stay in use for a part of that time.
+//! Upstreams renew their entries in the store. During an outage the entries
+//! lapse, although the upstreams still serve. After the outage, a running
+//! upstream is back on the list soon, and an upstream that stays missing is
+//! gone. [`LapsedUpstreams`] keeps missing upstreams in use for a grace period
+//! after the outage.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use super::listing::{Listing, Upstream};
 use crate::{id::UpstreamId, time::Millis};
 
-/// For how long after the store's return a missing upstream stays in use, in
-/// ms.
+/// How long a missing upstream stays in use after an outage, in ms.
 ///
-/// Whether the store was away for all or for this instance alone cannot be
-/// told. An upstream that is gone without a word must get nothing new two
-/// seconds after the store said so, and up to 0.8 s pass until all instances
-/// have heard of it: this is what is left, less a margin.
-const MAY_BE_MISSING_MS: u64 = 1_000;
+/// An instance cannot know whether the store was unavailable for all instances
+/// or only for this one. An upstream that ends without notice must get no new
+/// requests later than 2 s after the store reports the removal, and up to
+/// 0.8 s of this time pass until all instances know about the removal. The
+/// constant is the rest, less a margin.
+const GRACE_MS: u64 = 1_000;
 
-/// For how long the store must have failed to count as away, in ms.
-const AWAY_MS: u64 = 1_000;
+/// How long calls to the store must have failed to count as an outage, in ms.
+const MIN_OUTAGE_MS: u64 = 1_000;
 
-/// Whether the store was away until a moment ago.
+/// Whether an outage of the store ended recently.
 ///
-/// Only failures count: for how long nothing was heard says nothing, since
-/// watches last long, and this process may itself have stood still.
+/// Only failed calls count as an outage. The time since the last answer does
+/// not, because watches last long and because this process may have been
+/// suspended.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct StorePresence {
+pub struct StoreAvailability {
     failing_since: Option<Millis>,
-    heard: Option<Millis>,
-    returned: Option<Millis>,
+    answered_at: Option<Millis>,
+    recovered_at: Option<Millis>,
 }
 
-impl StorePresence {
-    /// Notes that a call failed that lasted for some ms; tells whether that
-    /// says anything of the store as it is now.
+impl StoreAvailability {
+    /// Records a failed call that lasted for `lasted_ms`. Returns whether the
+    /// failure says anything about the present state of the store.
     ///
-    /// A call that began before the store answered another one tells of an
-    /// earlier time. Taken for news, it had gateways look for a store that
-    /// was back for two seconds.
-    pub fn failed(&mut self, lasted_ms: u64, now: Millis) -> bool {
+    /// The failure of a call that began before the last answer to another call
+    /// is out of date. When such failures counted, gateways took a store for
+    /// lost that had been available again for two seconds.
+    pub fn record_failure(&mut self, lasted_ms: u64, now: Millis) -> bool {
         let answered_since =
-            self.heard.is_some_and(|heard| now.since(heard) < lasted_ms);
+            self.answered_at.is_some_and(|at| now.since(at) < lasted_ms);
         if !answered_since {
             self.failing_since.get_or_insert(now);
         }
         !answered_since
     }
 
-    /// Notes that a call was answered.
-    pub fn heard(&mut self, now: Millis) {
-        self.heard = Some(now);
+    /// Records an answered call.
+    pub fn record_answer(&mut self, now: Millis) {
+        self.answered_at = Some(now);
         let failed = self.failing_since.take();
-        if failed.is_some_and(|since| now.since(since) >= AWAY_MS) {
-            self.returned = Some(now);
+        if failed.is_some_and(|since| now.since(since) >= MIN_OUTAGE_MS) {
+            self.recovered_at = Some(now);
         }
     }
 
-    /// Tells whether it has just come back: entries may have lapsed.
-    pub fn has_just_returned(&self, now: Millis) -> bool {
-        let returned = self.returned;
-        returned.is_some_and(|at| now.since(at) < MAY_BE_MISSING_MS)
+    /// Returns whether an outage ended less than [`GRACE_MS`] ago, so that
+    /// entries missing on the list may have lapsed.
+    pub fn has_just_recovered(&self, now: Millis) -> bool {
+        let recovered = self.recovered_at;
+        recovered.is_some_and(|at| now.since(at) < GRACE_MS)
     }
 }
 
@@ -71,27 +75,34 @@
     until: Millis,
 }
 
-/// Upstreams that fell off the list while the store was away.
+/// The upstreams that are missing on the list after an outage of the store
+/// and that stay in use for a grace period.
 #[derive(Debug, Clone, Default)]
 pub struct LapsedUpstreams {
     lapsed: BTreeMap<UpstreamId, Lapsed>,
 }
 
 impl LapsedUpstreams {
-    /// Keeps an upstream that is missing, unless it said that it leaves.
+    /// Keeps a missing upstream for the grace period, unless the upstream is
+    /// leaving. Does not extend the grace period of an upstream that is already
+    /// kept.
     pub fn keep(&mut self, upstream: &Arc<Upstream>, now: Millis) {
         if upstream.leaving {
             return;
         }
         let upstream = upstream.clone();
         let id = upstream.id.clone();
-        let until = now + MAY_BE_MISSING_MS;
+        let until = now + GRACE_MS;
         self.lapsed.entry(id).or_insert(Lapsed { upstream, until });
     }
 
-    /// Lets time pass, with those that are listed; returns which are not
-    /// kept any more.
-    pub fn pass(&mut self, listing: &Listing, now: Millis) -> Vec<UpstreamId> {
+    /// Removes upstreams that are listed again or whose grace period is over,
+    /// and returns their names.
+    pub fn prune(
+        &mut self,
+        listing: &Listing,
+        now: Millis,
+    ) -> Vec<UpstreamId> {
         let is_over = |id: &UpstreamId, one: &mut Lapsed| {
             now >= one.until || listing.upstreams.contains_key(id)
         };
@@ -99,17 +110,18 @@
         over.map(|(id, _)| id).collect()
     }
 
-    /// Returns an upstream that is kept.
+    /// Returns the last entry of a kept upstream, or `None` if the upstream is
+    /// not kept.
     pub fn get(&self, id: &UpstreamId) -> Option<&Arc<Upstream>> {
         self.lapsed.get(id).map(|one| &one.upstream)
     }
 
-    /// Returns those that are kept.
+    /// Returns the names of the kept upstreams.
     pub fn ids(&self) -> impl Iterator<Item = &UpstreamId> {
         self.lapsed.keys()
     }
 
-    /// Tells whether an upstream is kept.
+    /// Returns whether an upstream is kept.
     pub fn contains(&self, id: &UpstreamId) -> bool {
         self.lapsed.contains_key(id)
     }
--- a/crates/valehold-core/src/fleet/tests/lapsed.rs
+++ b/crates/valehold-core/src/fleet/tests/lapsed.rs
@@ -1,4 +1,4 @@
-//! Upstreams that lapsed with the store are kept for a while.
+//! Tests of upstreams whose entries lapsed during an outage of the store.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::{
     fleet::{
         Holding, Listing, Upstream,
-        lapsed::{LapsedUpstreams, StorePresence},
+        lapsed::{LapsedUpstreams, StoreAvailability},
     },
     id::{DataCentreId, ServiceName, UpstreamId},
     time::Millis,
@@ -32,31 +32,31 @@
 }
 
 #[gtest]
-fn who_lapsed_is_kept_until_it_is_back_or_gone() {
+fn a_lapsed_upstream_is_kept_until_listed_again_or_the_grace_period_ends() {
     let mut lapsed = LapsedUpstreams::default();
     let (first, second) = (upstream("u1", false), upstream("u2", false));
     lapsed.keep(&first, at(1_000));
     lapsed.keep(&second, at(1_000));
     expect_that!(lapsed.get(&first.id), some(eq(&first)));
     expect_that!(lapsed.get(&second.id), some(eq(&second)));
-    // One is back.
-    let back = Listing {
+    // The first upstream is listed again.
+    let relisted = Listing {
         version: 2,
         upstreams: [(first.id.clone(), first.clone())].into_iter().collect(),
     };
-    let over = lapsed.pass(&back, at(1_200));
+    let over = lapsed.prune(&relisted, at(1_200));
     expect_that!(over, elements_are![eq(&first.id)]);
     expect_false!(lapsed.contains(&first.id));
     expect_true!(lapsed.contains(&second.id));
-    // Missing it again does not make the time longer.
+    // Keeping the second one again does not extend its grace period.
     lapsed.keep(&second, at(1_900));
-    let over = lapsed.pass(&back, at(2_000));
+    let over = lapsed.prune(&relisted, at(2_000));
     expect_that!(over, elements_are![eq(&second.id)]);
     expect_false!(lapsed.contains(&second.id));
 }
 
 #[gtest]
-fn who_said_that_it_leaves_is_not_kept() {
+fn a_leaving_upstream_is_not_kept() {
     let mut lapsed = LapsedUpstreams::default();
     let leaving = upstream("u1", true);
     lapsed.keep(&leaving, at(1_000));
@@ -64,45 +64,47 @@
 }
 
 #[gtest]
-fn a_store_that_failed_for_a_second_was_away() {
-    let mut store = StorePresence::default();
-    store.heard(at(1_000));
-    store.failed(50, at(1_100));
-    store.heard(at(1_900));
-    expect_false!(store.has_just_returned(at(1_900)));
-    store.failed(50, at(2_000));
-    store.failed(50, at(2_800));
-    store.heard(at(3_000));
-    expect_true!(store.has_just_returned(at(3_000)));
-    expect_true!(store.has_just_returned(at(3_999)));
-    expect_false!(store.has_just_returned(at(4_000)));
+fn failures_for_one_second_are_an_outage() {
+    let mut store = StoreAvailability::default();
+    store.record_answer(at(1_000));
+    store.record_failure(50, at(1_100));
+    store.record_answer(at(1_900));
+    expect_false!(store.has_just_recovered(at(1_900)));
+    store.record_failure(50, at(2_000));
+    store.record_failure(50, at(2_800));
+    store.record_answer(at(3_000));
+    expect_true!(store.has_just_recovered(at(3_000)));
+    expect_true!(store.has_just_recovered(at(3_999)));
+    expect_false!(store.has_just_recovered(at(4_000)));
 }
 
-/// On the bench: a gateway whose watch had lasted long took the store for
-/// just returned, and upstreams that had left were used for 2.2 s more.
+/// Guards against taking the end of a long watch for the end of an outage. A
+/// benchmark showed the failure: a gateway kept sending to upstreams that had
+/// left, for 2.2 s more.
 #[gtest]
-fn a_watch_that_lasts_long_is_no_outage() {
-    let mut store = StorePresence::default();
-    store.heard(at(1_000));
-    store.heard(at(29_000));
-    expect_false!(store.has_just_returned(at(29_000)));
-    // Nor is one that fails once at its end.
-    store.failed(28_000, at(57_000));
-    store.heard(at(57_200));
-    expect_false!(store.has_just_returned(at(57_200)));
+fn a_long_watch_is_no_outage() {
+    let mut store = StoreAvailability::default();
+    store.record_answer(at(1_000));
+    store.record_answer(at(29_000));
+    expect_false!(store.has_just_recovered(at(29_000)));
+    // A watch that fails once at its end is no outage either.
+    store.record_failure(28_000, at(57_000));
+    store.record_answer(at(57_200));
+    expect_false!(store.has_just_recovered(at(57_200)));
 }
 
-/// On the bench: two seconds after the store had answered for upstreams, a
-/// watch of the configuration that had begun before failed, and the store was
-/// taken for lost.
+/// Guards against taking the store for lost because of an outdated failure. In
+/// a benchmark, a watch of the configuration failed two seconds after the store
+/// had answered a call about upstreams, but the watch had begun before that
+/// answer.
 #[gtest]
-fn a_call_that_began_before_the_last_answer_tells_nothing_new() {
-    let mut store = StorePresence::default();
-    store.heard(at(11_800));
-    expect_false!(store.failed(3_200, at(14_000)));
-    expect_true!(store.failed(1_000, at(14_000)));
-    // One that began with the answer is news.
-    let mut store = StorePresence::default();
-    store.heard(at(11_800));
-    expect_true!(store.failed(2_200, at(14_000)));
+fn a_failed_call_that_began_before_the_last_answer_is_ignored() {
+    let mut store = StoreAvailability::default();
+    store.record_answer(at(11_800));
+    expect_false!(store.record_failure(3_200, at(14_000)));
+    expect_true!(store.record_failure(1_000, at(14_000)));
+    // The failure of a call that began at the time of the answer counts.
+    let mut store = StoreAvailability::default();
+    store.record_answer(at(11_800));
+    expect_true!(store.record_failure(2_200, at(14_000)));
 }
--- a/crates/valehold-gateway/src/control/behind.rs
+++ b/crates/valehold-gateway/src/control/behind.rs
@@ -207,7 +207,7 @@
                 }
                 if let Some(changes) = state.changes {
                     let after_outage =
-                        self.store_presence.has_just_returned(now);
+                        self.store_presence.has_just_recovered(now);
                     let delta = ListingDelta { after_outage, ..changes };
                     self.take_delta(&delta, now);
                 }
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -57,7 +57,7 @@
     Millis,
     fleet::{
         Asked, Catalog, EvacuationView, KnownUpstreams, cold::Grantor,
-        lapsed::StorePresence,
+        lapsed::StoreAvailability,
     },
     id::{DataCentreId, InstanceId},
 };
@@ -159,7 +159,7 @@
     upstreams: KnownUpstreams,
     watch_orders: Rc<WatchOrders>,
     store: StoreSight,
-    store_presence: StorePresence,
+    store_presence: StoreAvailability,
     /// How often the store came back from a copy, once it is known.
     store_era: Option<u64>,
     behind: Behind,
@@ -277,7 +277,7 @@
             upstreams: KnownUpstreams::default(),
             watch_orders,
             store: StoreSight::Unknown,
-            store_presence: StorePresence::default(),
+            store_presence: StoreAvailability::default(),
             store_era: None,
             behind: Behind::new(is_seed, now),
             published: Published::default(),
--- a/crates/valehold-gateway/src/control/store_sight.rs
+++ b/crates/valehold-gateway/src/control/store_sight.rs
@@ -54,7 +54,7 @@
         now: Millis,
     ) {
         let lasted_ms = Millis::from(lasted).get();
-        if !self.store_presence.failed(lasted_ms, now) {
+        if !self.store_presence.record_failure(lasted_ms, now) {
             return;
         }
         if self.store != StoreSight::Fails {
@@ -85,6 +85,6 @@
             Event::StoreBack.log();
         }
         self.store = StoreSight::Answers;
-        self.store_presence.heard(now);
+        self.store_presence.record_answer(now);
     }
 }
--- a/crates/valehold-gateway/src/control/upstreams.rs
+++ b/crates/valehold-gateway/src/control/upstreams.rs
@@ -12,7 +12,7 @@
 impl Control {
     /// Takes in a whole list.
     pub(super) fn list(&mut self, listing: Listing, now: Millis) {
-        let after_outage = self.store_presence.has_just_returned(now);
+        let after_outage = self.store_presence.has_just_recovered(now);
         let words = self.words_of_cold(&listing);
         let (version, known) = (listing.version, self.upstreams.version());
         if version < known {
@@ -33,7 +33,7 @@
         let Some(version) = version else { return };
         let changed = self.without_cooling(changed, now);
         let before = self.upstreams.version();
-        let after_outage = self.store_presence.has_just_returned(now);
+        let after_outage = self.store_presence.has_just_recovered(now);
         let delta = ListingDelta {
             base_version: before,
             version,
