--- a/crates/valehold-core/examples/upstream_words.rs
+++ b/crates/valehold-core/examples/upstream_words.rs
@@ -41,7 +41,7 @@
     }
     let mut leaving = LeavingUpstreams::default();
     for number in 0..4_096 {
-        leaving.note(&start(number), UPSTREAMS, now);
+        leaving.record(&start(number), UPSTREAMS, now);
     }
     let took_ns = mean_ns(|| {
         black_box(leaving.contains(&start(7)));
@@ -49,7 +49,7 @@
     println!("4096 leave: {took_ns:.0} ns to look one up");
     let took_ns = mean_ns(|| {
         let mut leaving = leaving.clone();
-        black_box(leaving.note(&start(5_000), UPSTREAMS, now));
+        black_box(leaving.record(&start(5_000), UPSTREAMS, now));
     });
     println!("4096 leave: {took_ns:.0} ns to copy them and add another");
 }
--- a/crates/valehold-core/src/fleet/identity.rs
+++ b/crates/valehold-core/src/fleet/identity.rs
@@ -96,8 +96,8 @@
     }
 
     /// Removes upstreams that are not `known` and had no report for
-    /// [`LATE_REPORT_WINDOW_MS`]. Does nothing if the last run was less than
-    /// [`PRUNE_INTERVAL_MS`] ago.
+    /// `LATE_REPORT_WINDOW_MS`. Does nothing if the last run was less than
+    /// `PRUNE_INTERVAL_MS` ago.
     pub fn prune(&mut self, known: impl Fn(&UpstreamId) -> bool, now: Millis) {
         if now.since(self.pruned_at) < PRUNE_INTERVAL_MS {
             return;
--- a/crates/valehold-core/src/fleet/known.rs
+++ b/crates/valehold-core/src/fleet/known.rs
@@ -204,7 +204,7 @@
         for entry in entries.filter(|entry| !entry.leaving) {
             let start = entry.start();
             if self.rows.get_start(&start).is_some_and(|known| known.leaving) {
-                self.leaving.note(&start, upstreams, now);
+                self.leaving.record(&start, upstreams, now);
             }
         }
     }
@@ -334,7 +334,7 @@
     /// that is new.
     pub fn say_leaving(&mut self, start: &UpstreamStart, now: Millis) -> bool {
         let upstreams = self.known.upstreams.len();
-        let is_new = self.leaving.note(start, upstreams, now);
+        let is_new = self.leaving.record(start, upstreams, now);
         if is_new && self.known.upstreams.contains_key(&start.id) {
             self.touch([start.id.clone()]);
         }
@@ -348,7 +348,7 @@
         let listed = &self.known.upstreams;
         self.start_times.prune(|id| listed.contains_key(id), now);
         let known = &self.known;
-        self.leaving.sweep(|start| known.get_start(start).is_some(), now);
+        self.leaving.prune(|start| known.get_start(start).is_some(), now);
     }
 
     /// Tells whether something changed since changes were last taken.
--- a/crates/valehold-core/src/fleet/lapsed.rs
+++ b/crates/valehold-core/src/fleet/lapsed.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Returns whether an outage ended less than [`GRACE_MS`] ago, so that
+    /// Returns whether an outage ended less than `GRACE_MS` ago, so that
     /// entries missing on the list may have lapsed.
     pub fn has_just_recovered(&self, now: Millis) -> bool {
         let recovered = self.recovered_at;
--- a/crates/valehold-core/src/fleet/leaving.rs
+++ b/crates/valehold-core/src/fleet/leaving.rs
@@ -1,42 +1,45 @@
-//! Upstreams that say in their answers that they leave.
+//! Upstreams that report in their answers that they are leaving.
 //!
-//! An upstream that is about to end says so itself, also while the platform's
-//! list cannot: its entry may say for as long as the store is away that it
-//! takes work. Its own word is of one start and for good, so that no entry,
-//! and no word of another instance, takes it back.
+//! An upstream that is about to end reports this in its answers, because during
+//! an outage of the platform's store its list entry still says that the
+//! upstream accepts requests. The report concerns one start of the upstream
+//! and is final: no list entry and no report of another instance revokes it.
 
 use std::collections::BTreeMap;
 
 use super::identity::UpstreamStart;
 use crate::time::Millis;
 
-/// For how long a word is kept after it was last heard of an upstream that is
-/// not known any more, in ms: an entry that lapsed with the store, or comes
-/// late, must not bring the upstream back. No outage that users plan for
-/// lasts longer.
-const REMEMBER_MS: u64 = 600_000;
+/// How long the report of a start is kept after the start was last known, in
+/// ms. Without the report, an entry that lapsed during an outage of the store
+/// or that arrives late would bring the upstream back. Outages that users plan
+/// for are no longer than this.
+const RETENTION_MS: u64 = 600_000;
 
-/// How often words of upstreams that are gone are looked for, in ms.
-const SWEEP_EVERY_MS: u64 = 60_000;
+/// The interval at which reports of removed upstreams are pruned, in ms.
+const PRUNE_INTERVAL_MS: u64 = 60_000;
 
-/// How many words are kept at the least, and for how many times the upstreams
-/// that are known: all of them may be replaced within [`REMEMBER_MS`], and a
-/// word that is forgotten while its upstream leaves has it used again.
-const LEAST_WORDS: usize = 4_096;
-const WORDS_FOR_EACH: usize = 2;
+/// The minimum number of reports that are kept, and the number per known
+/// upstream. All upstreams may be replaced within [`RETENTION_MS`], and an
+/// upstream whose report is evicted before it has left gets requests again.
+const MIN_CAPACITY: usize = 4_096;
+const CAPACITY_PER_UPSTREAM: usize = 2;
 
-/// Which starts of upstreams said that they leave.
+/// The starts of upstreams that reported that they are leaving.
 #[derive(Debug, Clone, Default)]
 pub struct LeavingUpstreams {
-    /// When it was heard of each, or that was last known to be there.
-    said: BTreeMap<UpstreamStart, Millis>,
-    swept: Millis,
+    /// For each start the time of its report, or the last time at which
+    /// pruning found the start to be known.
+    last_known: BTreeMap<UpstreamStart, Millis>,
+    pruned_at: Millis,
 }
 
 impl LeavingUpstreams {
-    /// Notes that a start of an upstream leaves; tells whether that is new.
-    /// `upstreams` is how many are known.
-    pub fn note(
+    /// Records that a start of an upstream is leaving, and returns whether the
+    /// report is new. `upstreams` is the number of known upstreams; together
+    /// with the constants it limits the number of reports. At the limit the
+    /// oldest report is evicted.
+    pub fn record(
         &mut self,
         start: &UpstreamStart,
         upstreams: usize,
@@ -45,47 +48,49 @@
         if self.contains(start) {
             return false;
         }
-        let most = LEAST_WORDS.max(upstreams * WORDS_FOR_EACH);
-        if self.said.len() >= most {
-            self.forget_oldest();
+        let capacity = MIN_CAPACITY.max(upstreams * CAPACITY_PER_UPSTREAM);
+        if self.last_known.len() >= capacity {
+            self.evict_oldest();
         }
-        self.said.insert(start.clone(), now);
+        self.last_known.insert(start.clone(), now);
         true
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.said.iter().min_by_key(|(_, heard)| **heard);
+    fn evict_oldest(&mut self) {
+        let oldest = self.last_known.iter().min_by_key(|(_, at)| **at);
         let oldest = oldest.map(|(start, _)| start.clone());
         if let Some(oldest) = oldest {
-            self.said.remove(&oldest);
+            self.last_known.remove(&oldest);
         }
     }
 
-    /// Tells whether a start of an upstream said that it leaves.
+    /// Returns whether a start of an upstream reported that it is leaving.
     pub fn contains(&self, start: &UpstreamStart) -> bool {
-        self.said.contains_key(start)
+        self.last_known.contains_key(start)
     }
 
-    /// Returns all of them.
+    /// Returns all starts that reported that they are leaving.
     pub fn starts(&self) -> impl Iterator<Item = &UpstreamStart> {
-        self.said.keys()
+        self.last_known.keys()
     }
 
-    /// Forgets, now and then, upstreams that have not been `known` for long.
-    pub fn sweep(
+    /// Removes the reports of starts that have not been `known` for
+    /// `RETENTION_MS`. Does nothing if the last run was less than
+    /// `PRUNE_INTERVAL_MS` ago.
+    pub fn prune(
         &mut self,
         known: impl Fn(&UpstreamStart) -> bool,
         now: Millis,
     ) {
-        if now.since(self.swept) < SWEEP_EVERY_MS {
+        if now.since(self.pruned_at) < PRUNE_INTERVAL_MS {
             return;
         }
-        self.swept = now;
-        self.said.retain(|start, heard| {
+        self.pruned_at = now;
+        self.last_known.retain(|start, last_known| {
             if known(start) {
-                *heard = now;
+                *last_known = now;
             }
-            now.since(*heard) < REMEMBER_MS
+            now.since(*last_known) < RETENTION_MS
         });
     }
 }
--- a/crates/valehold-core/src/fleet/tests/leaving.rs
+++ b/crates/valehold-core/src/fleet/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of its own leaving holds for good.
+//! Tests that an upstream that reported that it is leaving is not used again.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -21,11 +21,8 @@
     Millis::new(ms)
 }
 
-fn start(id: u8, birth: Option<u64>) -> UpstreamStart {
-    UpstreamStart {
-        id: UpstreamId::new(format!("e{id}")),
-        started_at_ms: birth,
-    }
+fn start(id: u8, started_at_ms: Option<u64>) -> UpstreamStart {
+    UpstreamStart { id: UpstreamId::new(format!("e{id}")), started_at_ms }
 }
 
 fn entry(start: &UpstreamStart, leaving: bool) -> Arc<Upstream> {
@@ -42,51 +39,66 @@
     })
 }
 
-/// What may be said of upstreams, and by whom.
+/// An event that changes what an instance knows about upstreams.
 #[derive(Debug, Clone)]
-enum Word {
-    /// The store's whole list: each with its birth, if it states one.
+enum Event {
+    /// The store returned its whole list. Each entry is a name and a start
+    /// time.
     Listed { entries: Vec<(u8, Option<u64>)>, after_outage: bool },
-    /// A change that the store's watch gave.
-    Changed { id: u8, birth: Option<u64>, leaving: bool },
-    /// An entry went.
-    Gone { id: u8, after_outage: bool },
-    /// The holder told what it holds.
-    Told { id: u8, birth: Option<u64> },
-    /// It said so in an answer, or a peer told of that.
-    Leaves { id: u8, birth: Option<u64> },
+    /// The store's watch returned a changed entry.
+    Changed { id: u8, started_at_ms: Option<u64>, leaving: bool },
+    /// The store's watch returned a removed entry.
+    Removed { id: u8, after_outage: bool },
+    /// The lease holder reported what the engine holds.
+    Reported { id: u8, started_at_ms: Option<u64> },
+    /// The upstream reported in an answer that it is leaving, or a peer
+    /// reported such an answer.
+    Leaves { id: u8, started_at_ms: Option<u64> },
     /// Time passed, in ms.
     Passed(u64),
 }
 
-/// Births as they are stated: by none of them, or by all.
-fn birth() -> impl Strategy<Value = Option<u64>> {
+/// Returns a start time. Every entry and report in these tests states one.
+fn start_time() -> impl Strategy<Value = Option<u64>> {
     (1_u64..4).prop_map(Some)
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn event() -> impl Strategy<Value = Event> {
     let id = 0_u8..3;
     prop_oneof![
-        (prop::collection::vec((id.clone(), birth()), 0..4), any::<bool>())
-            .prop_map(|(entries, after_outage)| Word::Listed {
+        (
+            prop::collection::vec((id.clone(), start_time()), 0..4),
+            any::<bool>()
+        )
+            .prop_map(|(entries, after_outage)| Event::Listed {
                 entries,
                 after_outage
             }),
-        (id.clone(), birth(), any::<bool>()).prop_map(
-            |(id, birth, leaving)| Word::Changed { id, birth, leaving }
+        (id.clone(), start_time(), any::<bool>()).prop_map(
+            |(id, started_at_ms, leaving)| Event::Changed {
+                id,
+                started_at_ms,
+                leaving
+            }
         ),
-        (id.clone(), any::<bool>())
-            .prop_map(|(id, after_outage)| Word::Gone { id, after_outage }),
-        (id.clone(), birth()).prop_map(|(id, birth)| Word::Told { id, birth }),
-        (id, birth()).prop_map(|(id, birth)| Word::Leaves { id, birth }),
-        (0_u64..70_000).prop_map(Word::Passed),
+        (id.clone(), any::<bool>()).prop_map(|(id, after_outage)| {
+            Event::Removed { id, after_outage }
+        }),
+        (id.clone(), start_time()).prop_map(|(id, started_at_ms)| {
+            Event::Reported { id, started_at_ms }
+        }),
+        (id, start_time()).prop_map(|(id, started_at_ms)| Event::Leaves {
+            id,
+            started_at_ms
+        }),
+        (0_u64..70_000).prop_map(Event::Passed),
     ]
 }
 
-/// Takes words in, one after the other.
+/// Applies events to a registry, one after the other.
 struct Run {
     known: KnownUpstreams,
-    said: BTreeSet<UpstreamStart>,
+    leaving: BTreeSet<UpstreamStart>,
     now: Millis,
     version: u64,
 }
@@ -95,7 +107,7 @@
     fn new() -> Self {
         Self {
             known: KnownUpstreams::default(),
-            said: BTreeSet::new(),
+            leaving: BTreeSet::new(),
             now: at(1_000),
             version: 0,
         }
@@ -115,44 +127,41 @@
         self.known.apply(&change, self.now);
     }
 
-    fn take(&mut self, word: Word) {
-        match word {
-            Word::Listed { entries, after_outage } => {
+    fn apply(&mut self, event: Event) {
+        match event {
+            Event::Listed { entries, after_outage } => {
                 self.version += 1;
-                let entries = entries.into_iter().map(|(id, birth)| {
-                    let start = start(id, birth);
-                    (start.id.clone(), entry(&start, false))
-                });
+                let entries =
+                    entries.into_iter().map(|(id, started_at_ms)| {
+                        let start = start(id, started_at_ms);
+                        (start.id.clone(), entry(&start, false))
+                    });
                 let upstreams = entries.collect();
                 let list = Listing { version: self.version, upstreams };
                 self.known.replace(list, after_outage, self.now);
             }
-            Word::Changed { id, birth, leaving } => {
-                let changed = entry(&start(id, birth), leaving);
+            Event::Changed { id, started_at_ms, leaving } => {
+                let changed = entry(&start(id, started_at_ms), leaving);
                 self.change(|delta| delta.changed.push(changed));
             }
-            Word::Gone { id, after_outage } => self.change(|delta| {
+            Event::Removed { id, after_outage } => self.change(|delta| {
                 delta.removed.push(start(id, None).id);
                 delta.after_outage = after_outage;
             }),
-            Word::Told { id, birth } => {
+            Event::Reported { id, started_at_ms } => {
                 let stamp = Stamp { epoch: 1, sequence: self.version };
                 let engine = start(id, None).id;
                 let holding = Holding::default();
-                let told = EngineHolding {
-                    engine,
-                    started_at_ms: birth,
-                    holding,
-                    stamp,
-                };
-                self.known.tell(vec![told], self.now);
+                let report =
+                    EngineHolding { engine, started_at_ms, holding, stamp };
+                self.known.tell(vec![report], self.now);
             }
-            Word::Leaves { id, birth } => {
-                let start = start(id, birth);
+            Event::Leaves { id, started_at_ms } => {
+                let start = start(id, started_at_ms);
                 let is_new = self.known.say_leaving(&start, self.now);
-                assert_eq!(is_new, self.said.insert(start));
+                assert_eq!(is_new, self.leaving.insert(start));
             }
-            Word::Passed(ms) => {
+            Event::Passed(ms) => {
                 self.now = self.now + ms;
                 self.known.pass(self.now);
             }
@@ -161,87 +170,88 @@
 }
 
 proptest! {
-    /// Whatever entries, holders and time say after it, and in whatever order:
-    /// no start that said that it leaves is used again.
+    /// A start that reported that it is leaving is not used again, regardless
+    /// of the list entries and holder reports that follow and of their order.
     #[test]
-    fn nothing_brings_back_who_said_that_it_leaves(
-        words in prop::collection::vec(word(), 1..60),
+    fn no_event_makes_a_leaving_start_available_again(
+        events in prop::collection::vec(event(), 1..60),
     ) {
         let mut run = Run::new();
-        for word in words {
-            // Words are kept for ten minutes after an upstream is gone.
+        for event in events {
+            // Reports are kept for ten minutes after an upstream is gone.
             if run.now >= at(580_000) {
                 break;
             }
-            run.take(word);
+            run.apply(event);
             let service = ServiceName::new(SERVICE);
             for upstream in run.known.listing().available(&service) {
-                prop_assert!(!run.said.contains(&upstream.start()));
+                prop_assert!(!run.leaving.contains(&upstream.start()));
             }
         }
     }
 
-    /// Nor is any other start of it, or any other upstream, held back.
+    /// The report of one start does not mark another start of the upstream, or
+    /// another upstream, as leaving.
     #[test]
-    fn no_other_start_is_held_back(
-        words in prop::collection::vec(word(), 1..60),
+    fn only_the_start_that_reported_it_is_marked_as_leaving(
+        events in prop::collection::vec(event(), 1..60),
     ) {
         let mut run = Run::new();
-        for word in words {
+        for event in events {
             let is_listed_as_leaving =
-                matches!(word, Word::Changed { leaving: true, .. });
+                matches!(event, Event::Changed { leaving: true, .. });
             if is_listed_as_leaving {
                 continue;
             }
-            run.take(word);
+            run.apply(event);
             for upstream in run.known.listing().upstreams.values() {
-                let is_held_back = upstream.leaving;
-                let has_said = run.said.contains(&upstream.start());
-                prop_assert_eq!(is_held_back, has_said);
+                let is_marked = upstream.leaving;
+                let has_reported = run.leaving.contains(&upstream.start());
+                prop_assert_eq!(is_marked, has_reported);
             }
         }
     }
 }
 
 #[gtest]
-fn a_word_lasts_as_long_as_its_upstream_and_ten_minutes() {
+fn a_report_is_kept_until_ten_minutes_after_its_start_is_gone() {
     let (kept, gone) = (start(1, None), start(2, None));
     let mut leaving = LeavingUpstreams::default();
-    expect_true!(leaving.note(&kept, 2, at(0)));
-    expect_true!(leaving.note(&gone, 2, at(0)));
-    expect_false!(leaving.note(&gone, 2, at(10)));
+    expect_true!(leaving.record(&kept, 2, at(0)));
+    expect_true!(leaving.record(&gone, 2, at(0)));
+    expect_false!(leaving.record(&gone, 2, at(10)));
     let known = |one: &UpstreamStart| *one == kept;
-    leaving.sweep(known, at(599_000));
+    leaving.prune(known, at(599_000));
     expect_true!(leaving.contains(&gone));
-    leaving.sweep(known, at(660_000));
+    leaving.prune(known, at(660_000));
     expect_true!(leaving.contains(&kept));
     expect_false!(leaving.contains(&gone));
-    leaving.sweep(|_| false, at(1_259_000));
+    leaving.prune(|_| false, at(1_259_000));
     expect_true!(leaving.contains(&kept));
-    leaving.sweep(|_| false, at(1_320_000));
+    leaving.prune(|_| false, at(1_320_000));
     expect_false!(leaving.contains(&kept));
 }
 
 #[gtest]
-fn words_are_bounded_and_the_oldest_goes_first() {
+fn reports_are_bounded_and_the_oldest_is_evicted_first() {
     let mut leaving = LeavingUpstreams::default();
     for number in 0..5_000_u64 {
-        leaving.note(&start(1, Some(number)), 1, at(number));
+        leaving.record(&start(1, Some(number)), 1, at(number));
     }
     expect_that!(leaving.starts().count(), eq(4_096));
     expect_false!(leaving.contains(&start(1, Some(903))));
     expect_true!(leaving.contains(&start(1, Some(904))));
 }
 
-// Words were bounded by a number that was twice the upstreams of the fleets of
-// its time. With 3,996 upstreams, the word of one that leaves was forgotten
-// while it left, and it was given requests again.
+// Guards against a fixed limit on the number of reports. In a fleet of 3,996
+// upstreams, with a limit of twice the size of earlier fleets, the report of a
+// leaving upstream was evicted too early, and the upstream got requests again.
 #[gtest]
-fn every_upstream_of_a_large_fleet_may_leave_and_its_successor_too() {
+fn reports_of_a_large_fleet_and_its_replacements_are_all_kept() {
     let upstreams = 8_000;
     let mut leaving = LeavingUpstreams::default();
     for number in 0..2 * upstreams as u64 {
-        leaving.note(&start(1, Some(number)), upstreams, at(number));
+        leaving.record(&start(1, Some(number)), upstreams, at(number));
     }
     expect_that!(leaving.starts().count(), eq(2 * upstreams));
     expect_true!(leaving.contains(&start(1, Some(0))));
