--- a/crates/valehold-core/examples/upstream_words.rs
+++ b/crates/valehold-core/examples/upstream_words.rs
@@ -8,7 +8,8 @@
 use valehold_core::{
     Millis,
     fleet::{
-        UpstreamStart, leaving::LeavingUpstreams, rest::RestSight, rest::Rests,
+        UpstreamStart, backoff::BackoffState, backoff::UpstreamBackoffs,
+        leaving::LeavingUpstreams,
     },
     id::UpstreamId,
 };
@@ -27,14 +28,14 @@
     let now = Millis::new(1_000);
     let holders: Vec<UpstreamStart> = (0..HOLDERS).map(start).collect();
     for resting in [0, 300, 1_500] {
-        let mut rests = Rests::default();
+        let mut rests = UpstreamBackoffs::default();
         for number in 0..resting {
-            rests.ask(&start(number), Duration::from_secs(3), now);
+            rests.record(&start(number), Duration::from_secs(3), now);
         }
         let took_ns = mean_ns(|| {
             let awake = holders
                 .iter()
-                .filter(|one| rests.sight(one, now) == RestSight::Awake);
+                .filter(|one| rests.state(one, now) == BackoffState::Ready);
             black_box(awake.count());
         });
         println!("{resting} rest: {took_ns:.0} ns for {HOLDERS} holders");
--- a/crates/valehold-core/src/fleet/mod.rs
+++ b/crates/valehold-core/src/fleet/mod.rs
@@ -10,6 +10,7 @@
 
 pub mod adapters;
 pub mod asked;
+pub mod backoff;
 pub mod bound;
 pub mod catalog;
 pub mod choice;
@@ -29,7 +30,6 @@
 pub mod peaks;
 pub mod recent;
 pub mod replicas;
-pub mod rest;
 pub mod share;
 pub mod slot_time;
 pub mod store_version;
--- a/crates/valehold-core/src/fleet/tests.rs
+++ b/crates/valehold-core/src/fleet/tests.rs
@@ -2,6 +2,7 @@
 
 mod adapters;
 mod asked;
+mod backoff;
 mod bound;
 mod catalog;
 mod choice;
@@ -18,7 +19,6 @@
 mod peaks;
 mod replicas;
 mod replicas_in_bounds;
-mod rest;
 mod share;
 mod slot_time;
 mod store_version;
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -30,9 +30,9 @@
         Asked, Catalog, EngineHolding, EvacuationView, KnownUpstreams,
         Listing, RegionBound, Upstream, UpstreamStart, Variant,
         asked::BoundUse,
+        backoff::UpstreamBackoffs,
         catalog::EngineSpec,
         peaks::Peaks,
-        rest::Rests,
         topology::Topology,
         upstream_limit::UpstreamLimits,
         weight_loads::{Inheritance, LostLoads, WeightLoads},
@@ -291,12 +291,12 @@
     /// number of requests: questions and orders would be some of them.
     pub(super) fn note_rests(
         &mut self,
-        rests: &Rests,
+        rests: &UpstreamBackoffs,
         limits: &UpstreamLimits,
         now: Millis,
     ) {
         for entry in self.entries.values_mut() {
-            entry.resting = !rests.is_awake(&entry.start, now)
+            entry.resting = !rests.is_ready(&entry.start, now)
                 || limits.rate(&entry.start).is_some();
         }
     }
--- a/crates/valehold-gateway/src/shared.rs
+++ b/crates/valehold-gateway/src/shared.rs
@@ -9,10 +9,10 @@
 use tokio::sync::{mpsc, watch};
 use valehold_core::fleet::{
     Asked, UpstreamStart,
+    backoff::UpstreamBackoffs,
     cold::{ColdBook, RightAsk},
     crashes::CrashBook,
     paces::{PaceObservation, Paces},
-    rest::Rests,
     topology::Topology,
     upstream_limit::UpstreamLimits,
     usage::UsageMeter,
@@ -92,7 +92,7 @@
     running: Mutex<BTreeMap<Asked, u32>>,
     usage: Mutex<UsageMeter>,
     cold: Mutex<ColdBook>,
-    rests: Mutex<Rests>,
+    rests: Mutex<UpstreamBackoffs>,
     upstream_limits: Mutex<UpstreamLimits>,
     crashes: Mutex<CrashBook>,
     crash_changes: watch::Sender<u64>,
@@ -172,7 +172,7 @@
     }
 
     /// Which upstreams asked this gateway for rest.
-    pub fn rests(&self) -> MutexGuard<'_, Rests> {
+    pub fn rests(&self) -> MutexGuard<'_, UpstreamBackoffs> {
         // Each entry stands for itself: any that a panic left is valid.
         self.rests.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -10,8 +10,8 @@
 
 use valehold_core::{
     fleet::{
-        RegionBound, Upstream, Variant, cold::RightSight, rest::RestSight,
-        upstream_limit::RequestRate,
+        RegionBound, Upstream, Variant, backoff::BackoffState,
+        cold::RightSight, upstream_limit::RequestRate,
     },
     id::UpstreamId,
 };
@@ -186,7 +186,7 @@
         return Some(PassedOverFor::Leaving);
     }
     let now = app.now();
-    if !app.shared.rests().is_awake(&one.start(), now) {
+    if !app.shared.rests().is_ready(&one.start(), now) {
         return Some(PassedOverFor::Resting);
     }
     let is_limited = rights::is_limited(app, one);
@@ -222,9 +222,9 @@
     let mut awake = Vec::new();
     let mut soonest_ms: Option<u64> = None;
     for upstream in upstreams {
-        match rests.sight(&upstream.start(), now) {
-            RestSight::Awake => awake.push(upstream),
-            RestSight::Resting { left_ms } => {
+        match rests.state(&upstream.start(), now) {
+            BackoffState::Ready => awake.push(upstream),
+            BackoffState::BackingOff { remaining_ms: left_ms } => {
                 let soonest = soonest_ms.map_or(left_ms, |s| s.min(left_ms));
                 soonest_ms = Some(soonest);
             }
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -182,7 +182,7 @@
         self.slot_times.borrow_mut().sweep(now);
         let is_listed = |id: &UpstreamId| listing.upstreams.contains_key(id);
         self.shared.cold().sweep(is_listed, now);
-        self.shared.rests().sweep(known, now);
+        self.shared.rests().prune(known, now);
         self.shared.upstream_limits().sweep(known);
         // Who leaves can end sooner without connections that rest.
         self.pool.sweep(|start| {
--- a/crates/valehold-gateway/src/traffic/words.rs
+++ b/crates/valehold-gateway/src/traffic/words.rs
@@ -36,7 +36,7 @@
 /// chosen, and after its rest one request goes first.
 pub(super) fn may_send(app: &App, upstream: &Upstream) -> bool {
     let mut rests = app.shared.rests();
-    rests.is_empty() || rests.may_send(&upstream.start(), app.now())
+    rests.is_empty() || rests.try_acquire(&upstream.start(), app.now())
 }
 
 /// Notes what an answer says of the upstream that it is surely of: it has the
@@ -49,7 +49,7 @@
     }
     note_limit(app, &start, words);
     let Some(rest) = words.rest else { return };
-    let is_new = app.shared.rests().ask(&start, rest, app.now());
+    let is_new = app.shared.rests().record(&start, rest, app.now());
     if is_new {
         app.shared.metrics.upstream_rests();
         let for_ms = Millis::from(rest).get();
