--- a/crates/valehold-core/src/fleet/mod.rs
+++ b/crates/valehold-core/src/fleet/mod.rs
@@ -29,6 +29,7 @@
 pub mod paces;
 pub mod peaks;
 pub mod recent;
+pub mod rejections;
 pub mod replicas;
 pub mod share;
 pub mod slot_time;
@@ -36,7 +37,6 @@
 #[cfg(test)]
 mod tests;
 pub mod topology;
-pub mod turned_away;
 pub mod upstream_limit;
 pub mod usage;
 pub mod ways;
--- a/crates/valehold-gateway/src/traffic/record.rs
+++ b/crates/valehold-gateway/src/traffic/record.rs
@@ -4,7 +4,7 @@
 use log::log_enabled;
 use valehold_core::{
     Millis, Verdict,
-    fleet::{RegionBound, turned_away::TurnedAway},
+    fleet::{RegionBound, rejections::Rejection},
     reason::RefusalReason,
 };
 
@@ -84,8 +84,8 @@
         if let Some(send) = self.sends.last_mut() {
             send.rest_ms = failure.rest.map(|rest| Millis::from(rest).get());
             send.end = match failure.turned_away {
-                Some(TurnedAway::NotHeld) => SendEnd::NotHeld,
-                Some(TurnedAway::Busy) => SendEnd::Busy,
+                Some(Rejection::NotHeld) => SendEnd::NotHeld,
+                Some(Rejection::Busy) => SendEnd::Busy,
                 None if failure.arrived => SendEnd::Broken,
                 None if failure.is_withheld() => SendEnd::Withheld,
                 None => SendEnd::NotSent,
--- a/crates/valehold-gateway/src/traffic/send.rs
+++ b/crates/valehold-gateway/src/traffic/send.rs
@@ -11,7 +11,7 @@
 use hyper::{body::Incoming, client::conn::http1::SendRequest};
 use valehold_core::{
     Millis, Verdict,
-    fleet::{Upstream, cold::SendRight, turned_away::TurnedAway},
+    fleet::{Upstream, cold::SendRight, rejections::Rejection},
     reason::RetryReason,
 };
 use valehold_ports::port::fleet::Sending;
@@ -54,7 +54,7 @@
     /// For how long the upstream asks for rest.
     pub(super) rest: Option<Duration>,
     /// Why the upstream says that it did not run the request.
-    pub(super) turned_away: Option<TurnedAway>,
+    pub(super) turned_away: Option<Rejection>,
     /// Whether the connection ended before there was any output.
     pub(super) cut_off: bool,
 }
@@ -88,7 +88,7 @@
     }
 
     /// The upstream says that it did not run the request.
-    fn refused(why: TurnedAway, rest: Option<Duration>) -> Self {
+    fn refused(why: Rejection, rest: Option<Duration>) -> Self {
         Self {
             verdict: Verdict::NotRun,
             arrived: true,
@@ -278,11 +278,11 @@
     }
     if said.not_run {
         let why = match head.status {
-            StatusCode::MISDIRECTED_REQUEST => TurnedAway::NotHeld,
-            _ => TurnedAway::Busy,
+            StatusCode::MISDIRECTED_REQUEST => Rejection::NotHeld,
+            _ => Rejection::Busy,
         };
         let rest = retry_after::read(&head.headers);
-        if why == TurnedAway::Busy {
+        if why == Rejection::Busy {
             words::note(app, upstream, words(rest));
         }
         return Err(SendFailure::refused(why, rest));
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -14,9 +14,9 @@
         health::Health,
         pace::Pace,
         paces::{LogRatio, PaceObservation},
+        rejections::{RecentRejections, Rejection},
         share::RetryShare,
         slot_time::SlotTimes,
-        turned_away::{TurnedAway, TurnedAwayMemory},
         ways::{Way, Ways},
     },
     id::{DataCentreId, ModelName, ServiceName, UpstreamId},
@@ -49,7 +49,7 @@
     paces: RefCell<BTreeMap<UpstreamStart, Pace>>,
     shares: RefCell<BTreeMap<ServiceName, RetryShare>>,
     hints: RefCell<PrefixHints<UpstreamStart>>,
-    turned_away: RefCell<TurnedAwayMemory>,
+    turned_away: RefCell<RecentRejections>,
     slot_times: RefCell<SlotTimes>,
     ways: RefCell<Ways>,
 }
@@ -178,7 +178,7 @@
         let known = |start: &UpstreamStart| listing.get_start(start).is_some();
         self.health.borrow_mut().retain(|id, _| known(id));
         self.paces.borrow_mut().retain(|id, _| known(id));
-        self.turned_away.borrow_mut().sweep(known, now);
+        self.turned_away.borrow_mut().prune(known, now);
         self.slot_times.borrow_mut().sweep(now);
         let is_listed = |id: &UpstreamId| listing.upstreams.contains_key(id);
         self.shared.cold().sweep(is_listed, now);
@@ -207,10 +207,10 @@
         &self,
         upstream: &UpstreamStart,
         variant: Option<&Variant>,
-        why: TurnedAway,
+        why: Rejection,
     ) {
         let now = self.now();
-        self.turned_away.borrow_mut().note(upstream, variant, why, now);
+        self.turned_away.borrow_mut().record(upstream, variant, why, now);
     }
 
     /// Notes that an upstream took a request.
@@ -219,7 +219,7 @@
         upstream: &UpstreamStart,
         variant: Option<&Variant>,
     ) {
-        self.turned_away.borrow_mut().taken(upstream, variant);
+        self.turned_away.borrow_mut().record_accepted(upstream, variant);
     }
 
     /// Tells whether an upstream turned such a request away lately.
@@ -228,7 +228,7 @@
         upstream: &UpstreamStart,
         variant: Option<&Variant>,
     ) -> bool {
-        self.turned_away.borrow().is_noted(upstream, variant, self.now())
+        self.turned_away.borrow().contains(upstream, variant, self.now())
     }
 
     /// Notes a request's first send to a service.
