--- a/crates/valehold-core/src/fleet/mod.rs
+++ b/crates/valehold-core/src/fleet/mod.rs
@@ -21,7 +21,6 @@
 pub mod health;
 pub mod identity;
 pub mod index;
-pub mod known;
 pub mod lapsed;
 pub mod leaving;
 pub mod listing;
@@ -29,6 +28,7 @@
 pub mod paces;
 pub mod peaks;
 pub mod recent;
+pub mod registry;
 pub mod rejections;
 pub mod replicas;
 pub mod share;
@@ -53,7 +53,7 @@
     },
     identity::UpstreamStart,
     index::UpstreamIndex,
-    known::{EngineHolding, KnownUpstreams},
     listing::{Holding, Listing, ListingDelta, Upstream, Variant},
+    registry::{EngineHolding, UpstreamRegistry},
     store_version::StoreVersion,
 };
--- a/crates/valehold-core/src/fleet/tests/leaving.rs
+++ b/crates/valehold-core/src/fleet/tests/leaving.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     fleet::{
-        EngineHolding, Holding, KnownUpstreams, Listing, ListingDelta,
-        Upstream, UpstreamStart, leaving::LeavingUpstreams,
+        EngineHolding, Holding, Listing, ListingDelta, Upstream,
+        UpstreamRegistry, UpstreamStart, leaving::LeavingUpstreams,
     },
     id::{DataCentreId, ServiceName, UpstreamId},
     order::Stamp,
@@ -97,7 +97,7 @@
 
 /// Applies events to a registry, one after the other.
 struct Run {
-    known: KnownUpstreams,
+    registry: UpstreamRegistry,
     leaving: BTreeSet<UpstreamStart>,
     now: Millis,
     version: u64,
@@ -106,7 +106,7 @@
 impl Run {
     fn new() -> Self {
         Self {
-            known: KnownUpstreams::default(),
+            registry: UpstreamRegistry::default(),
             leaving: BTreeSet::new(),
             now: at(1_000),
             version: 0,
@@ -114,7 +114,7 @@
     }
 
     fn change(&mut self, delta: impl FnOnce(&mut ListingDelta)) {
-        let before = self.known.version();
+        let before = self.registry.version();
         self.version += 1;
         let mut change = ListingDelta {
             base_version: before,
@@ -124,7 +124,7 @@
             after_outage: false,
         };
         delta(&mut change);
-        self.known.apply(&change, self.now);
+        self.registry.apply(&change, self.now);
     }
 
     fn apply(&mut self, event: Event) {
@@ -138,7 +138,7 @@
                     });
                 let upstreams = entries.collect();
                 let list = Listing { version: self.version, upstreams };
-                self.known.replace(list, after_outage, self.now);
+                self.registry.replace(list, after_outage, self.now);
             }
             Event::Changed { id, started_at_ms, leaving } => {
                 let changed = entry(&start(id, started_at_ms), leaving);
@@ -154,16 +154,16 @@
                 let holding = Holding::default();
                 let report =
                     EngineHolding { engine, started_at_ms, holding, stamp };
-                self.known.tell(vec![report], self.now);
+                self.registry.receive_holdings(vec![report], self.now);
             }
             Event::Leaves { id, started_at_ms } => {
                 let start = start(id, started_at_ms);
-                let is_new = self.known.say_leaving(&start, self.now);
+                let is_new = self.registry.record_leaving(&start, self.now);
                 assert_eq!(is_new, self.leaving.insert(start));
             }
             Event::Passed(ms) => {
                 self.now = self.now + ms;
-                self.known.pass(self.now);
+                self.registry.prune(self.now);
             }
         }
     }
@@ -184,7 +184,7 @@
             }
             run.apply(event);
             let service = ServiceName::new(SERVICE);
-            for upstream in run.known.listing().available(&service) {
+            for upstream in run.registry.listing().available(&service) {
                 prop_assert!(!run.leaving.contains(&upstream.start()));
             }
         }
@@ -204,7 +204,7 @@
                 continue;
             }
             run.apply(event);
-            for upstream in run.known.listing().upstreams.values() {
+            for upstream in run.registry.listing().upstreams.values() {
                 let is_marked = upstream.leaving;
                 let has_reported = run.leaving.contains(&upstream.start());
                 prop_assert_eq!(is_marked, has_reported);
--- a/crates/valehold-gateway/examples/fleet_costs.rs
+++ b/crates/valehold-gateway/examples/fleet_costs.rs
@@ -15,7 +15,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Holding, KnownUpstreams, Listing, ListingDelta, Upstream,
+        Holding, Listing, ListingDelta, Upstream, UpstreamRegistry,
         UpstreamStart, paces::PaceNews,
     },
     id::{DataCentreId, InstanceId, ModelName, ServiceName, UpstreamId},
@@ -295,7 +295,7 @@
     }
 
     fn change_us(&self) -> f64 {
-        let mut known = KnownUpstreams::default();
+        let mut known = UpstreamRegistry::default();
         known.replace(self.listing(), false, self.now);
         let mut version = 1;
         mean_us(|| {
--- a/crates/valehold-gateway/src/control/leaving.rs
+++ b/crates/valehold-gateway/src/control/leaving.rs
@@ -41,7 +41,7 @@
     ) {
         let mut new = Vec::new();
         for start in starts {
-            if self.upstreams.say_leaving(start, now) {
+            if self.upstreams.record_leaving(start, now) {
                 self.shared.metrics.upstream_leaving(source);
                 let upstream = start.id.clone();
                 Event::UpstreamLeaving { upstream, source }.log();
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -56,7 +56,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EvacuationView, KnownUpstreams, cold::Grantor,
+        Asked, Catalog, EvacuationView, UpstreamRegistry, cold::Grantor,
         lapsed::StoreAvailability,
     },
     id::{DataCentreId, InstanceId},
@@ -156,7 +156,7 @@
     evacuations: EvacuationView,
     /// The data centres that operators were told to be empty.
     told_evacuations: BTreeSet<DataCentreId>,
-    upstreams: KnownUpstreams,
+    upstreams: UpstreamRegistry,
     watch_orders: Rc<WatchOrders>,
     store: StoreSight,
     store_presence: StoreAvailability,
@@ -274,7 +274,7 @@
             catalog: None,
             evacuations: EvacuationView::default(),
             told_evacuations: BTreeSet::new(),
-            upstreams: KnownUpstreams::default(),
+            upstreams: UpstreamRegistry::default(),
             watch_orders,
             store: StoreSight::Unknown,
             store_presence: StoreAvailability::default(),
@@ -354,7 +354,7 @@
             self.members_changed();
             self.hear_members(now);
         }
-        self.upstreams.pass(now);
+        self.upstreams.prune(now);
         self.let_go_of_held(&[], now);
         self.tell_evacuations(now);
         self.tell_crashes(now);
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -27,8 +27,8 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EngineHolding, EvacuationView, KnownUpstreams,
-        Listing, RegionBound, Upstream, UpstreamStart, Variant,
+        Asked, Catalog, EngineHolding, EvacuationView, Listing, RegionBound,
+        Upstream, UpstreamRegistry, UpstreamStart, Variant,
         asked::BoundUse,
         backoff::UpstreamBackoffs,
         catalog::EngineSpec,
@@ -258,11 +258,11 @@
     /// Returns those of the news that were not told yet.
     pub(super) fn news_beyond(
         &self,
-        known: &KnownUpstreams,
+        known: &UpstreamRegistry,
         now: Millis,
     ) -> Vec<EngineHolding> {
         let is_news = |id: &UpstreamId, entry: &Entry| {
-            entry.is_news(now) && !known.was_told(id, entry.stamp)
+            entry.is_news(now) && !known.has_holding_report(id, entry.stamp)
         };
         self.told(is_news)
     }
--- a/crates/valehold-gateway/src/control/telling.rs
+++ b/crates/valehold-gateway/src/control/telling.rs
@@ -308,7 +308,7 @@
                 self.place_soon();
             }
             Message::Holdings(holdings) => {
-                self.upstreams.tell(holdings, now);
+                self.upstreams.receive_holdings(holdings, now);
             }
             Message::Listed(delta) => {
                 self.take_delta(&delta, now);
@@ -419,7 +419,7 @@
             self.lease.borrow_mut().heard(rumour, now);
         }
         let is_new = self.roster.heard(from, heartbeat, now);
-        self.upstreams.tell(holdings, now);
+        self.upstreams.receive_holdings(holdings, now);
         if !self.roster.has_hubs() {
             self.publish_loads(now);
         }
--- a/crates/valehold-gateway/src/control/upstreams.rs
+++ b/crates/valehold-gateway/src/control/upstreams.rs
@@ -84,6 +84,6 @@
         }
         let message = Message::Holdings(news.clone());
         self.send_all(&message);
-        self.upstreams.tell(news, now);
+        self.upstreams.receive_holdings(news, now);
     }
 }
