--- a/crates/valehold-core/src/fleet/backoff.rs
+++ b/crates/valehold-core/src/fleet/backoff.rs
@@ -137,7 +137,7 @@
     }
 
     /// Removes backoffs that ended `RETENTION_MS` ago or earlier, and backoffs
-    /// of starts that are not `known`.
+    /// of starts for which `known` returns `false`.
     pub fn prune(
         &mut self,
         known: impl Fn(&UpstreamStart) -> bool,
--- a/crates/valehold-core/src/fleet/choice.rs
+++ b/crates/valehold-core/src/fleet/choice.rs
@@ -1,10 +1,10 @@
 //! Chooses the upstream of a plain service that receives a request.
 //!
 //! Engines are chosen by [`crate::routing`], which predicts when an answer
-//! begins. The processes of a plain service do not report their load. For
-//! these, the choice is the process with the lowest cost: the number of
-//! requests per slot that this instance and its peers have in flight to the
-//! process, plus the cost of the network path, counted as waiting requests.
+//! begins. The processes of a plain service do not report their load, so the
+//! process with the lowest cost is chosen. The cost is the number of requests
+//! per slot that this instance and its peers have in flight to the process,
+//! plus the cost of the network path, expressed as waiting requests per slot.
 
 use crate::id::UpstreamId;
 
@@ -47,9 +47,9 @@
 /// finds no free slot waits for another request, which takes about 20 ms.
 const LOAD_PER_MS: f64 = 0.05;
 
-/// The maximum cost of a network path, in requests per slot. Without the
-/// maximum, a request would wait for one of the last slots nearby although a
-/// distant upstream has a free slot.
+/// The maximum cost of a network path, in requests per slot. Because of the
+/// maximum, an upstream with free slots at any distance is preferred to a nearby
+/// upstream with hardly a free slot.
 const MAX_PATH_LOAD: f64 = 0.8;
 
 fn cost(candidate: &PlainCandidate) -> f64 {
--- a/crates/valehold-core/src/fleet/health.rs
+++ b/crates/valehold-core/src/fleet/health.rs
@@ -1,4 +1,4 @@
-//! The failure score of an upstream, which marks unreliable upstreams as
+//! Scores the recent failures of an upstream and marks unreliable upstreams as
 //! suspect.
 
 use crate::time::Millis;
@@ -11,7 +11,7 @@
 /// chosen only if no other upstream is left.
 const SUSPECT_SCORE: f64 = 0.45;
 
-/// The part of the distance to 1 by which a failed request raises a score.
+/// The share of the distance to 1 by which a failed request raises a score.
 const FAILURE_WEIGHT: f64 = 0.35;
 
 /// The factor by which a successful request reduces a score.
--- a/crates/valehold-core/src/fleet/index.rs
+++ b/crates/valehold-core/src/fleet/index.rs
@@ -44,8 +44,9 @@
         ids.filter_map(|id| listing.upstreams.get(id))
     }
 
-    /// Replaces the entry of one upstream. `before` is `None` if the upstream
-    /// is new, and `after` is `None` if the upstream is removed.
+    /// Updates the index after the entry of one upstream changed. `before` is
+    /// `None` if the upstream is new, and `after` is `None` if the upstream was
+    /// removed.
     pub(super) fn update(
         &mut self,
         before: Option<&Upstream>,
--- a/crates/valehold-core/src/fleet/lapsed.rs
+++ b/crates/valehold-core/src/fleet/lapsed.rs
@@ -18,7 +18,7 @@
 /// or only for this one. An upstream that ends without notice must get no new
 /// requests later than 2 s after the store reports the removal, and up to
 /// 0.8 s of this time pass until all instances know about the removal. The
-/// constant is the rest, less a margin.
+/// grace period is the remaining 1.2 s, less a margin.
 const GRACE_MS: u64 = 1_000;
 
 /// How long calls to the store must have failed to count as an outage, in ms.
--- a/crates/valehold-core/src/fleet/leaving.rs
+++ b/crates/valehold-core/src/fleet/leaving.rs
@@ -1,9 +1,10 @@
 //! Upstreams that report in their answers that they are leaving.
 //!
-//! An upstream that is about to end reports this in its answers, because during
-//! an outage of the platform's store its list entry still says that the
-//! upstream accepts requests. The report concerns one start of the upstream
-//! and is final: no list entry and no report of another instance revokes it.
+//! An upstream that is about to end reports this in its answers, because its
+//! list entry cannot change during an outage of the platform's store and still
+//! says that the upstream accepts requests. The report concerns one start of
+//! the upstream and is final: no list entry and no report of another instance
+//! revokes the report.
 
 use std::collections::BTreeMap;
 
@@ -28,17 +29,17 @@
 /// The starts of upstreams that reported that they are leaving.
 #[derive(Debug, Clone, Default)]
 pub struct LeavingUpstreams {
-    /// For each start the time of its report, or the last time at which
-    /// pruning found the start to be known.
+    /// For each start the time of its report, or the time of the last pruning
+    /// at which the start was known.
     last_known: BTreeMap<UpstreamStart, Millis>,
     pruned_at: Millis,
 }
 
 impl LeavingUpstreams {
     /// Records that a start of an upstream is leaving, and returns whether the
-    /// report is new. `upstreams` is the number of known upstreams; together
-    /// with the constants it limits the number of reports. At the limit the
-    /// oldest report is evicted.
+    /// report is new. `upstreams` is the number of known upstreams, which
+    /// determines how many reports are kept. If there are too many, the oldest
+    /// report is evicted.
     pub fn record(
         &mut self,
         start: &UpstreamStart,
@@ -74,7 +75,7 @@
         self.last_known.keys()
     }
 
-    /// Removes the reports of starts that have not been `known` for
+    /// Removes the reports of starts for which `known` has returned `false` for
     /// `RETENTION_MS`. Does nothing if the last run was less than
     /// `PRUNE_INTERVAL_MS` ago.
     pub fn prune(
--- a/crates/valehold-core/src/fleet/listing.rs
+++ b/crates/valehold-core/src/fleet/listing.rs
@@ -134,17 +134,17 @@
 /// Changes of the platform's list from one version to a later one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListingDelta {
-    /// The version that the changes start from. The delta contains every change
-    /// after this version.
+    /// The version of the list that the changes start from. The delta contains
+    /// every change after this version.
     pub base_version: u64,
-    /// The version of the newest change.
+    /// The version of the list after the changes.
     pub version: u64,
     /// Entries that are new or differ.
     pub changed: Vec<Arc<Upstream>>,
     /// Upstreams that were removed.
     pub removed: Vec<UpstreamId>,
     /// Whether the platform's store was unavailable until shortly before, so
-    /// that some removed entries may only have expired during the outage.
+    /// that some removed entries may only have lapsed during the outage.
     pub after_outage: bool,
 }
 
--- a/crates/valehold-core/src/fleet/registry.rs
+++ b/crates/valehold-core/src/fleet/registry.rs
@@ -404,7 +404,8 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Rebuilds the merged entries of some upstreams.
+    /// Rebuilds the merged entries of some upstreams, and records the upstreams
+    /// as changed.
     fn rebuild(&mut self, ids: impl IntoIterator<Item = UpstreamId>) {
         for id in ids {
             self.rebuild_one(&id);
--- a/crates/valehold-core/src/fleet/rejections.rs
+++ b/crates/valehold-core/src/fleet/rejections.rs
@@ -82,8 +82,8 @@
         })
     }
 
-    /// Removes expired rejections, and rejections of upstreams that are not
-    /// `known`.
+    /// Removes expired rejections, and rejections of starts for which `known`
+    /// returns `false`.
     pub fn prune(
         &mut self,
         known: impl Fn(&UpstreamStart) -> bool,
--- a/crates/valehold-core/src/fleet/tests/lapsed.rs
+++ b/crates/valehold-core/src/fleet/tests/lapsed.rs
@@ -78,9 +78,9 @@
     expect_false!(store.has_just_recovered(at(4_000)));
 }
 
-/// Guards against taking the end of a long watch for the end of an outage. A
-/// benchmark showed the failure: a gateway kept sending to upstreams that had
-/// left, for 2.2 s more.
+/// Guards against taking the end of a long watch for the end of an outage. On
+/// the bench, a gateway with such a watch used upstreams that had left for
+/// 2.2 s more.
 #[gtest]
 fn a_long_watch_is_no_outage() {
     let mut store = StoreAvailability::default();
@@ -93,8 +93,8 @@
     expect_false!(store.has_just_recovered(at(57_200)));
 }
 
-/// Guards against taking the store for lost because of an outdated failure. In
-/// a benchmark, a watch of the configuration failed two seconds after the store
+/// Guards against taking the store for lost because of an outdated failure. On
+/// the bench, a watch of the configuration failed two seconds after the store
 /// had answered a call about upstreams, but the watch had begun before that
 /// answer.
 #[gtest]
