--- a/crates/valehold-core/src/fleet/backoff.rs
+++ b/crates/valehold-core/src/fleet/backoff.rs
@@ -1,12 +1,12 @@
 //! Upstreams that have asked an instance to back off.
 //!
 //! An overloaded upstream rejects a request and states for how long it accepts
-//! nothing from the instance that sent the request: no requests of any kind, no
-//! queries and no orders. Such an answer is no failure of the upstream and does
-//! not concern the rejected request only, so backoffs are kept per upstream.
-//! When a backoff ends, one request is sent as a probe, and other requests
-//! follow when the probe was not rejected. If all waiting requests were sent at
-//! once, they would overload the upstream again.
+//! nothing from the instance that sent the request: no requests of any kind,
+//! no queries and no orders. Such an answer is no failure of the upstream and
+//! does not concern the rejected request only, so backoffs are kept per
+//! upstream. When a backoff ends, one request is sent as a probe, and other
+//! requests follow when the probe was not rejected. If all waiting requests
+//! were sent at once, they would overload the upstream again.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,8 +19,8 @@
 const MAX_BACKOFF_MS: u64 = 600_000;
 
 /// How long the probe after a backoff is the only request, in ms. Upstreams
-/// reject requests within a few ms, and a round trip to the most distant region
-/// takes 100 ms.
+/// reject requests within a few ms, and a round trip to the most distant
+/// region takes 100 ms.
 const PROBE_MS: u64 = 200;
 
 /// How long the record of a finished backoff is kept, in ms. If no request for
@@ -89,8 +89,8 @@
         earlier.is_none_or(|earlier| earlier <= now)
     }
 
-    /// Returns whether requests may be sent to an upstream, and if not, for how
-    /// long.
+    /// Returns whether requests may be sent to an upstream, and if not, for
+    /// how long.
     pub fn state(
         &self,
         upstream: &UpstreamStart,
--- a/crates/valehold-core/src/fleet/choice.rs
+++ b/crates/valehold-core/src/fleet/choice.rs
@@ -48,8 +48,8 @@
 const LOAD_PER_MS: f64 = 0.05;
 
 /// The maximum cost of a network path, in requests per slot. Because of the
-/// maximum, an upstream with free slots at any distance is preferred to a nearby
-/// upstream with hardly a free slot.
+/// maximum, an upstream with free slots at any distance is preferred to a
+/// nearby upstream with hardly a free slot.
 const MAX_PATH_LOAD: f64 = 0.8;
 
 fn cost(candidate: &PlainCandidate) -> f64 {
--- a/crates/valehold-core/src/fleet/identity.rs
+++ b/crates/valehold-core/src/fleet/identity.rs
@@ -1,12 +1,12 @@
 //! Identifies one start of an upstream.
 //!
-//! An upstream may restart under the same name. The restarted process holds
-//! no models and has no state of the process before. Statistics, counters and
+//! An upstream may restart under the same name. The restarted process holds no
+//! models and has no state of the process before. Statistics, counters and
 //! expectations therefore belong to one start, and maps use [`UpstreamStart`]
 //! as their key: a restart gets a new key, and a late report about an earlier
-//! start still finds the entry of that start. [`StartTimes`] records the latest
-//! start of each upstream, so that a stale report cannot replace the latest
-//! start with an earlier one.
+//! start still finds the entry of that start. [`StartTimes`] records the
+//! latest start of each upstream, so that a stale report cannot replace the
+//! latest start with an earlier one.
 
 use std::collections::BTreeMap;
 
@@ -60,8 +60,8 @@
 /// The latest start time of each upstream that reports start times.
 ///
 /// Start times order the starts of an upstream: a report with an earlier start
-/// time is stale even if the report arrives later than others. A report without
-/// a start time counts as a report about the latest start.
+/// time is stale even if the report arrives later than others. A report
+/// without a start time counts as a report about the latest start.
 #[derive(Debug, Clone, Default)]
 pub struct StartTimes {
     latest: BTreeMap<UpstreamId, LatestStart>,
@@ -95,9 +95,9 @@
         self.latest.get(id).map(|latest| latest.started_at_ms)
     }
 
-    /// Removes upstreams that had no report for `LATE_REPORT_WINDOW_MS` and for
-    /// which `known` returns `false`. Does nothing if the last run was less
-    /// than `PRUNE_INTERVAL_MS` ago.
+    /// Removes upstreams that had no report for `LATE_REPORT_WINDOW_MS` and
+    /// for which `known` returns `false`. Does nothing if the last run was
+    /// less than `PRUNE_INTERVAL_MS` ago.
     pub fn prune(&mut self, known: impl Fn(&UpstreamId) -> bool, now: Millis) {
         if now.since(self.pruned_at) < PRUNE_INTERVAL_MS {
             return;
--- a/crates/valehold-core/src/fleet/index.rs
+++ b/crates/valehold-core/src/fleet/index.rs
@@ -22,8 +22,8 @@
 }
 
 impl UpstreamIndex {
-    /// Returns the upstreams of a list that hold a model, in the order of their
-    /// names.
+    /// Returns the upstreams of a list that hold a model, in the order of
+    /// their names.
     pub fn holding<'a>(
         &'a self,
         model: &ModelName,
@@ -45,8 +45,8 @@
     }
 
     /// Updates the index after the entry of one upstream changed. `before` is
-    /// `None` if the upstream is new, and `after` is `None` if the upstream was
-    /// removed.
+    /// `None` if the upstream is new, and `after` is `None` if the upstream
+    /// was removed.
     pub(super) fn update(
         &mut self,
         before: Option<&Upstream>,
--- a/crates/valehold-core/src/fleet/lapsed.rs
+++ b/crates/valehold-core/src/fleet/lapsed.rs
@@ -84,8 +84,8 @@
 
 impl LapsedUpstreams {
     /// Keeps a missing upstream for the grace period, unless the upstream is
-    /// leaving. Does not extend the grace period of an upstream that is already
-    /// kept.
+    /// leaving. Does not extend the grace period of an upstream that is
+    /// already kept.
     pub fn keep(&mut self, upstream: &Arc<Upstream>, now: Millis) {
         if upstream.leaving {
             return;
--- a/crates/valehold-core/src/fleet/leaving.rs
+++ b/crates/valehold-core/src/fleet/leaving.rs
@@ -75,8 +75,8 @@
         self.last_known.keys()
     }
 
-    /// Removes the reports of starts for which `known` has returned `false` for
-    /// `RETENTION_MS`. Does nothing if the last run was less than
+    /// Removes the reports of starts for which `known` has returned `false`
+    /// for `RETENTION_MS`. Does nothing if the last run was less than
     /// `PRUNE_INTERVAL_MS` ago.
     pub fn prune(
         &mut self,
--- a/crates/valehold-core/src/fleet/listing.rs
+++ b/crates/valehold-core/src/fleet/listing.rs
@@ -173,16 +173,16 @@
             .filter(move |u| u.service == *service && !u.leaving)
     }
 
-    /// Returns the entry of one start of an upstream, or `None` if the list has
-    /// no entry of the upstream or only an entry of another start.
+    /// Returns the entry of one start of an upstream, or `None` if the list
+    /// has no entry of the upstream or only an entry of another start.
     pub fn get_start(&self, start: &UpstreamStart) -> Option<&Arc<Upstream>> {
         let listed = self.upstreams.get(&start.id);
         listed.filter(|one| one.started_at_ms == start.started_at_ms)
     }
 
     /// Applies a delta and returns `true`. Changes nothing and returns `false`
-    /// if the list already contains the changes, or if changes between the list
-    /// and the delta are missing.
+    /// if the list already contains the changes, or if changes between the
+    /// list and the delta are missing.
     pub fn apply(&mut self, delta: &ListingDelta) -> bool {
         if delta.base_version > self.version || delta.version <= self.version {
             return false;
--- a/crates/valehold-core/src/fleet/recent.rs
+++ b/crates/valehold-core/src/fleet/recent.rs
@@ -25,8 +25,8 @@
 }
 
 impl RecentChanges {
-    /// Adds the next delta of a list that has `upstreams` entries. Discards all
-    /// earlier deltas if changes between the last delta and this one are
+    /// Adds the next delta of a list that has `upstreams` entries. Discards
+    /// all earlier deltas if changes between the last delta and this one are
     /// missing, and the oldest deltas if there are too many entries.
     pub fn record(&mut self, delta: ListingDelta, upstreams: usize) {
         let last = self.deltas.back().map(|last| last.version);
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Returns all changes since a version as one delta, or `None` if there are
-    /// no such changes or some of the changes are no longer kept.
+    /// Returns all changes since a version as one delta, or `None` if there
+    /// are no such changes or some of the changes are no longer kept.
     ///
     /// `after_outage` of the delta is always `false`: the caller that applies
     /// the delta has to set the field.
--- a/crates/valehold-core/src/fleet/registry.rs
+++ b/crates/valehold-core/src/fleet/registry.rs
@@ -32,8 +32,8 @@
 /// in ms. A report of this age gives way to the next change of the list entry.
 const MAX_LIST_LAG_MS: u64 = 2_500;
 
-/// How long the removal of a start from the list is recorded, in ms. The copies
-/// from which the store is restored are some seconds old.
+/// How long the removal of a start from the list is recorded, in ms. The
+/// copies from which the store is restored are some seconds old.
 const REMOVED_RETENTION_MS: u64 = 60_000;
 
 /// The models that an engine holds, as reported by the lease holder.
@@ -163,8 +163,8 @@
         true
     }
 
-    /// Records the changes that a whole list brought, for peers that still have
-    /// the list that was replaced. `before` is the version of that list.
+    /// Records the changes that a whole list brought, for peers that still
+    /// have the list that was replaced. `before` is the version of that list.
     fn record_replacement(&mut self, before: u64, ids: &BTreeSet<UpstreamId>) {
         if before == 0 {
             // A peer without a list needs the whole list.
@@ -201,8 +201,8 @@
         self.preserve_leaving(listing.upstreams.values(), now);
     }
 
-    /// Records as leaving the starts that the present list marks as leaving but
-    /// `entries`, of a restored store, do not.
+    /// Records as leaving the starts that the present list marks as leaving
+    /// but `entries`, of a restored store, do not.
     fn preserve_leaving<'a>(
         &mut self,
         entries: impl Iterator<Item = &'a Arc<Upstream>>,
@@ -399,13 +399,14 @@
         !self.changed.is_empty()
     }
 
-    /// Returns the upstreams that changed since the last call of this function.
+    /// Returns the upstreams that changed since the last call of this
+    /// function.
     pub fn take_changes(&mut self) -> BTreeSet<UpstreamId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Rebuilds the merged entries of some upstreams, and records the upstreams
-    /// as changed.
+    /// Rebuilds the merged entries of some upstreams, and records the
+    /// upstreams as changed.
     fn rebuild(&mut self, ids: impl IntoIterator<Item = UpstreamId>) {
         for id in ids {
             self.rebuild_one(&id);
