--- a/crates/valehold-core/src/fleet/tests/evacuation.rs
+++ b/crates/valehold-core/src/fleet/tests/evacuation.rs
@@ -111,7 +111,7 @@
             slots: 4,
             leaving: false,
             cold_for_ms: 0,
-            birth: None,
+            started_at_ms: None,
             holding: Holding::default(),
         };
         (upstream.id.clone(), Arc::new(upstream))
@@ -204,7 +204,7 @@
 /// until it is written again, is cancelled, or ten seconds have passed.
 #[gtest]
 fn an_order_missing_after_a_restore_of_the_store_is_held() {
-    let later = |version| StoreVersion { era: 1, version }.rising();
+    let later = |version| StoreVersion { era: 1, version }.pack();
     let after_restore = || {
         let mut state = EvacuationState::default();
         state.update(orders(4, &[]), 1_000, at(0));
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -27,12 +27,12 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EngineHolding, EvacuationState, KnownUpstreams,
-        Listing, RegionBound, Upstream, UpstreamStart, Variant,
+        Asked, Catalog, EngineHolding, EvacuationState, Listing, RegionBound,
+        Upstream, UpstreamRegistry, UpstreamStart, Variant,
         asked::BoundUse,
+        backoff::UpstreamBackoffs,
         catalog::EngineSpec,
         peaks::Peaks,
-        rest::Rests,
         topology::Topology,
         upstream_limit::UpstreamLimits,
         weight_loads::{Inheritance, LostLoads, WeightLoads},
@@ -258,11 +258,11 @@
     /// Returns those of the news that were not told yet.
     pub(super) fn news_beyond(
         &self,
-        known: &KnownUpstreams,
+        known: &UpstreamRegistry,
         now: Millis,
     ) -> Vec<EngineHolding> {
         let is_news = |id: &UpstreamId, entry: &Entry| {
-            entry.is_news(now) && !known.was_told(id, entry.stamp)
+            entry.is_news(now) && !known.has_holding_report(id, entry.stamp)
         };
         self.told(is_news)
     }
@@ -280,7 +280,7 @@
         let entries = self.entries.iter().filter(|(id, one)| which(id, one));
         let told = entries.map(|(id, entry)| EngineHolding {
             engine: id.clone(),
-            birth: entry.start.birth,
+            started_at_ms: entry.start.started_at_ms,
             holding: entry.usable(),
             stamp: entry.stamp,
         });
@@ -291,12 +291,12 @@
     /// number of requests: questions and orders would be some of them.
     pub(super) fn note_rests(
         &mut self,
-        rests: &Rests,
+        rests: &UpstreamBackoffs,
         limits: &UpstreamLimits,
         now: Millis,
     ) {
         for entry in self.entries.values_mut() {
-            entry.resting = !rests.is_awake(&entry.start, now)
+            entry.resting = !rests.is_ready(&entry.start, now)
                 || limits.rate(&entry.start).is_some();
         }
     }
