--- a/crates/valehold-core/src/fleet/cold/estimate.rs
+++ b/crates/valehold-core/src/fleet/cold/estimate.rs
@@ -43,12 +43,12 @@
     pub fn update(&mut self, entry: &Upstream, lasts_ms: u64, now: Millis) {
         let id = &entry.id;
         let known = self.start_times.get(id).copied();
-        if known > entry.birth && entry.birth.is_some() {
+        if known > entry.started_at_ms && entry.started_at_ms.is_some() {
             // A delayed entry of an earlier start.
             return;
         }
-        let has_restarted = known.is_some() && known < entry.birth;
-        if let Some(started_at) = entry.birth {
+        let has_restarted = known.is_some() && known < entry.started_at_ms;
+        if let Some(started_at) = entry.started_at_ms {
             self.start_times.insert(id.clone(), started_at);
         }
         let until = now + entry.cold_for_ms;
--- a/crates/valehold-gateway/src/control/entry.rs
+++ b/crates/valehold-gateway/src/control/entry.rs
@@ -125,7 +125,7 @@
     /// A record of a later start replaces the whole entry: reports of an
     /// earlier start and orders to it do not apply to a later one.
     pub(super) fn update_listing(&mut self, upstream: &Arc<Upstream>) {
-        if self.start.birth < upstream.birth {
+        if self.start.started_at_ms < upstream.started_at_ms {
             *self = Self::new(upstream);
             return;
         }
@@ -143,13 +143,13 @@
     /// Returns whether a report with a start time comes from a later start of
     /// the engine than the entry describes.
     pub(super) fn is_later_start(&self, started_at_ms: Option<u64>) -> bool {
-        self.start.birth < started_at_ms
+        self.start.started_at_ms < started_at_ms
     }
 
     /// Returns whether a report comes from the start that the entry describes.
     /// A report without a start time is attributed to that start.
     pub(super) fn is_current_start(&self, started_at_ms: Option<u64>) -> bool {
-        started_at_ms.is_none() || started_at_ms == self.start.birth
+        started_at_ms.is_none() || started_at_ms == self.start.started_at_ms
     }
 
     /// Resets the entry for another start of the engine that is not in the
@@ -158,8 +158,7 @@
         let listed = Upstream::clone(&self.last_listed);
         let holding = Holding::default();
         let evacuated = self.evacuated;
-        let upstream =
-            Arc::new(Upstream { birth: started_at_ms, holding, ..listed });
+        let upstream = Arc::new(Upstream { started_at_ms, holding, ..listed });
         *self = Self { evacuated, ..Self::new(&upstream) };
     }
 
@@ -213,7 +212,7 @@
 
     /// Returns whether the engine accepts requests for a variant.
     pub(super) fn serves(&self, variant: &Variant) -> bool {
-        self.holding.has(variant)
+        self.holding.can_run(variant)
             && self.unloading.as_ref() != Some(&variant.model)
     }
 
--- a/crates/valehold-gateway/src/control/lease.rs
+++ b/crates/valehold-gateway/src/control/lease.rs
@@ -430,7 +430,7 @@
     /// A new era discards reports about the lease in an earlier era, because
     /// they do not apply to the current row.
     fn update_era(&mut self, version: u64) -> bool {
-        let era = StoreVersion::of(version).era;
+        let era = StoreVersion::unpack(version).era;
         if era > self.era {
             self.era = era;
             self.restored_row = None;
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -28,12 +28,12 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EngineHolding, EvacuationState, KnownUpstreams,
-        Listing, RegionBound, Upstream, UpstreamStart, Variant,
+        Asked, Catalog, EngineHolding, EvacuationState, Listing, RegionBound,
+        Upstream, UpstreamRegistry, UpstreamStart, Variant,
         asked::BoundUse,
+        backoff::UpstreamBackoffs,
         catalog::EngineSpec,
         peaks::Peaks,
-        rest::Rests,
         topology::Topology,
         upstream_limit::UpstreamLimits,
         weight_loads::{Inheritance, LostLoads, WeightLoads},
@@ -272,11 +272,12 @@
     /// not received.
     pub(super) fn holdings_unknown_to(
         &self,
-        registry: &KnownUpstreams,
+        registry: &UpstreamRegistry,
         now: Millis,
     ) -> Vec<EngineHolding> {
         let is_due = |id: &UpstreamId, entry: &EngineEntry| {
-            entry.needs_advertising(now) && !registry.was_told(id, entry.stamp)
+            entry.needs_advertising(now)
+                && !registry.has_holding_report(id, entry.stamp)
         };
         self.holdings_where(is_due)
     }
@@ -297,7 +298,7 @@
             self.entries.iter().filter(|(id, entry)| predicate(id, entry));
         let holdings = entries.map(|(id, entry)| EngineHolding {
             engine: id.clone(),
-            birth: entry.start.birth,
+            started_at_ms: entry.start.started_at_ms,
             holding: entry.usable_holding(),
             stamp: entry.stamp,
         });
@@ -309,12 +310,12 @@
     /// requests.
     pub(super) fn update_restrictions(
         &mut self,
-        backoffs: &Rests,
+        backoffs: &UpstreamBackoffs,
         limits: &UpstreamLimits,
         now: Millis,
     ) {
         for entry in self.entries.values_mut() {
-            entry.restricted = !backoffs.is_awake(&entry.start, now)
+            entry.restricted = !backoffs.is_ready(&entry.start, now)
                 || limits.rate(&entry.start).is_some();
         }
     }
--- a/crates/valehold-gateway/src/control/placer/orders.rs
+++ b/crates/valehold-gateway/src/control/placer/orders.rs
@@ -96,7 +96,7 @@
             let is_unchanged = report.is_ok_and(|report| {
                 !report.busy
                     && (report.birth.is_none()
-                        || report.birth == order.engine.birth)
+                        || report.birth == order.engine.started_at_ms)
                     && report.holding == known_holding
                     && has_required_copy(&report, &order)
                     && fits(&report.holding, &order.action, &spec)
--- a/crates/valehold-gateway/src/control/placer/tests.rs
+++ b/crates/valehold-gateway/src/control/placer/tests.rs
@@ -72,7 +72,10 @@
 }
 
 fn start(started_at_ms: u64) -> UpstreamStart {
-    UpstreamStart { id: UpstreamId::new("e1"), birth: Some(started_at_ms) }
+    UpstreamStart {
+        id: UpstreamId::new("e1"),
+        started_at_ms: Some(started_at_ms),
+    }
 }
 
 fn holding(sequence: u64, models: &[&str]) -> Holding {
@@ -90,7 +93,7 @@
         slots: 4,
         leaving: false,
         cold_for_ms: 0,
-        birth: Some(started_at_ms),
+        started_at_ms: Some(started_at_ms),
         holding: holding(0, models),
     };
     let upstreams = [(upstream.id.clone(), Arc::new(upstream))];
@@ -131,7 +134,7 @@
     let before = advertised(&placer);
     placer.on_report(&start(1), report(2, 0, &[]), at(100));
     let after = advertised(&placer);
-    expect_that!(after.birth, some(eq(2)));
+    expect_that!(after.started_at_ms, some(eq(2)));
     expect_that!(after.holding, eq(&holding(0, &[])));
     expect_that!(after.stamp, gt(before.stamp));
     expect_that!(placer.holdings_to_advertise(at(100)), len(eq(1)));
@@ -141,7 +144,7 @@
 fn a_listing_of_a_later_start_discards_the_earlier_state() {
     let mut placer = placer_with_engine();
     placer.replace_listing(&listing_of_one(2, &["gamma"]));
-    expect_that!(advertised(&placer).birth, some(eq(2)));
+    expect_that!(advertised(&placer).started_at_ms, some(eq(2)));
     expect_that!(advertised(&placer).holding, eq(&holding(0, &["gamma"])));
 }
 
@@ -351,7 +354,7 @@
         let copies = BTreeSet::new();
         let birth = Some(1);
         let report = EngineReport { birth, holding, copies, busy: false };
-        let start = UpstreamStart { id, birth };
+        let start = UpstreamStart { id, started_at_ms: birth };
         placer.on_report(&start, Ok(report), at(0));
     }
     placer
--- a/crates/valehold-gateway/src/control/telling.rs
+++ b/crates/valehold-gateway/src/control/telling.rs
@@ -308,7 +308,7 @@
                 self.request_placement();
             }
             Message::Holdings(holdings) => {
-                self.upstreams.tell(holdings, now);
+                self.upstreams.receive_holdings(holdings, now);
             }
             Message::Listed(delta) => {
                 self.take_delta(&delta, now);
@@ -419,7 +419,7 @@
             self.lease.borrow_mut().on_lease_report(rumour, now);
         }
         let is_new = self.roster.on_heartbeat(from, heartbeat, now);
-        self.upstreams.tell(holdings, now);
+        self.upstreams.receive_holdings(holdings, now);
         if !self.roster.has_hubs() {
             self.publish_loads(now);
         }
--- a/crates/valehold-gateway/src/traffic/send.rs
+++ b/crates/valehold-gateway/src/traffic/send.rs
@@ -11,7 +11,7 @@
 use hyper::{body::Incoming, client::conn::http1::SendRequest};
 use valehold_core::{
     Millis, Verdict,
-    fleet::{Upstream, cold::SendPermit, turned_away::TurnedAway},
+    fleet::{Upstream, cold::SendPermit, rejections::Rejection},
     reason::RetryReason,
 };
 use valehold_ports::port::fleet::Sending;
@@ -54,7 +54,7 @@
     /// For how long the upstream asks for rest.
     pub(super) rest: Option<Duration>,
     /// Why the upstream says that it did not run the request.
-    pub(super) turned_away: Option<TurnedAway>,
+    pub(super) turned_away: Option<Rejection>,
     /// Whether the connection ended before there was any output.
     pub(super) cut_off: bool,
 }
@@ -88,7 +88,7 @@
     }
 
     /// The upstream says that it did not run the request.
-    fn refused(why: TurnedAway, rest: Option<Duration>) -> Self {
+    fn refused(why: Rejection, rest: Option<Duration>) -> Self {
         Self {
             verdict: Verdict::NotRun,
             arrived: true,
@@ -159,7 +159,7 @@
             let error = error.to_string();
             Event::UpstreamUnreachable { upstream: upstream_id, error }.log();
             let start = upstream.start();
-            app.judge(&start, |health, now| health.unreachable(now));
+            app.judge(&start, |health, now| health.record_unreachable(now));
             rights::may_have_restarted(app, job, upstream);
             SendFailure::not_sent()
         })?;
@@ -278,11 +278,11 @@
     }
     if said.not_run {
         let why = match head.status {
-            StatusCode::MISDIRECTED_REQUEST => TurnedAway::NotHeld,
-            _ => TurnedAway::Busy,
+            StatusCode::MISDIRECTED_REQUEST => Rejection::NotHeld,
+            _ => Rejection::Busy,
         };
         let rest = retry_after::read(&head.headers);
-        if why == TurnedAway::Busy {
+        if why == Rejection::Busy {
             words::note(app, upstream, words(rest));
         }
         return Err(SendFailure::refused(why, rest));
@@ -298,7 +298,7 @@
     };
     words::note(app, upstream, words(rest));
     if !asks_for_rest(head.status) {
-        app.shared.rests().took(&upstream.start(), app.now());
+        app.shared.rests().record_accepted(&upstream.start(), app.now());
     }
     let closes = head
         .headers
