--- a/crates/valehold-core/src/fleet/crashes/book.rs
+++ b/crates/valehold-core/src/fleet/crashes/book.rs
@@ -1,4 +1,4 @@
-//! What one instance knows of crashes.
+//! The crash records of one instance, and the refusals derived from them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,80 +8,89 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use super::{
-    AnsweredWord, Crash, CrashWord, CrashWords, REFUSED_AFTER, RefusedWord,
-    RequestContent, judge,
+    AnsweredReport, Crash, CrashReport, CrashReports, REFUSED_AFTER_CRASHES,
+    RefusedReport, RequestContent, find_culprits,
 };
 use crate::{id::UpstreamTag, time::Millis};
 
-/// The most requests that are kept over all crashes: 32 KB, so that all of it
-/// is told in one datagram.
-const MOST_UNDER_WAY: usize = 4_096;
+/// Maximum number of requests in flight, summed over all crashes. They take
+/// 32 KB, so that all records fit into one datagram. At most as many answered
+/// requests are accepted from one message.
+const MAX_REQUESTS: usize = 4_096;
 
-/// The most crashes that are kept: 6 KB in a datagram.
-const MOST_CRASHES: usize = 512;
+/// Maximum number of crashes; they take 6 KB of a datagram.
+const MAX_CRASHES: usize = 512;
 
-/// The most requests that the store names which are kept: 6 KB in a datagram.
-const MOST_REFUSED: usize = 512;
+/// Maximum number of requests that the store records as refused; they take
+/// 6 KB of a datagram.
+const MAX_RECORDED: usize = 512;
 
-/// For how much longer than it counts something is kept, in ms: for others,
-/// who heard of it later, it counts a little longer, and from them it would
-/// come back here, and from here to them, for ever.
-const ECHOES_FOR_MS: u64 = 60_000;
+/// How long a record is retained after it expires, in ms.
+///
+/// Instances that received a record later expire it a little later. If this
+/// instance deleted the record at once, one of them would send it back as a
+/// new record, and instances would pass it back and forth for ever.
+const RETAINED_AFTER_EXPIRY_MS: u64 = 60_000;
 
-/// What one instance knows of crashes, and of the requests that were there.
+/// The crashes that one instance knows of, the requests that were in flight at
+/// each, and the requests that are refused for them.
 ///
-/// Everything counts until some moment; of several words of the same the one
-/// that ends first holds, since words take time on their way.
+/// Every record expires. If several reports state different expiry times for
+/// one record, the earliest applies: a report states the remaining time, so
+/// each transit delays the expiry that the receiver computes.
 #[derive(Debug, Clone)]
 pub struct CrashBook {
-    keep_ms: u64,
+    retention_ms: u64,
     crashes: BTreeMap<UpstreamTag, Crash>,
+    /// Suspects that an upstream has answered, with the expiry of the answer.
     answered: BTreeMap<RequestContent, Millis>,
-    /// Those that the store names.
+    /// Requests that the store records as refused, with their expiry.
     recorded: BTreeMap<RequestContent, Millis>,
-    /// Those of them that the store may not name any more.
-    record_lost: BTreeSet<RequestContent>,
-    /// What follows from all this: who is refused, and until when.
+    /// Those of `recorded` that a restored store may have lost.
+    unconfirmed: BTreeSet<RequestContent>,
+    /// Derived from the records above: the refused requests, with expiry.
     refused: BTreeMap<RequestContent, Millis>,
-    /// What this instance noted since it was last told.
-    news: BTreeSet<News>,
+    /// Records of this instance's own that are not sent to others yet.
+    pending: BTreeSet<Update>,
+    /// How often the set of refused requests has changed.
     changes: u64,
 }
 
+/// A record to send to other instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum News {
+enum Update {
     Crash(UpstreamTag),
     Answered(RequestContent),
 }
 
 impl CrashBook {
-    /// Makes the book of an instance that knows nothing, and keeps what it
-    /// hears for so many ms.
-    pub fn new(keep_ms: u64) -> Self {
+    /// Creates an empty book whose records expire after `retention_ms`.
+    pub fn new(retention_ms: u64) -> Self {
         Self {
-            keep_ms,
+            retention_ms,
             crashes: BTreeMap::new(),
             answered: BTreeMap::new(),
             recorded: BTreeMap::new(),
-            record_lost: BTreeSet::new(),
+            unconfirmed: BTreeSet::new(),
             refused: BTreeMap::new(),
-            news: BTreeSet::new(),
+            pending: BTreeSet::new(),
             changes: 0,
         }
     }
 
-    /// Tells whether nothing is known, so that no request need be looked up.
+    /// Returns whether no request can be refused, so that callers need not
+    /// compute the digest of a request.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.recorded.is_empty()
     }
 
-    /// Counts the changes of who is refused.
+    /// Returns how often the set of refused requests has changed.
     pub const fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Returns for how much longer a request is refused, in ms; `None` if it
-    /// is not.
+    /// Returns how long a request is still refused, in ms, or `None` if the
+    /// request is not refused.
     pub fn refused_ms(
         &self,
         content: &RequestContent,
@@ -91,119 +100,131 @@
         Some(until.since(now)).filter(|left_ms| *left_ms > 0)
     }
 
-    /// Tells whether a request would be refused if one more upstream crashed
-    /// under it.
-    pub fn is_close(&self, content: &RequestContent) -> bool {
+    /// Returns whether one more crash may be enough for a request to be
+    /// refused.
+    pub fn is_near_refusal(&self, content: &RequestContent) -> bool {
         let crashes = self.crashes.values();
-        let under_it = crashes.filter(|one| one.under_way.contains(content));
-        under_it.count() + 1 >= REFUSED_AFTER
+        let involved = crashes.filter(|one| one.in_flight.contains(content));
+        involved.count() + 1 >= REFUSED_AFTER_CRASHES
     }
 
-    /// Returns who is refused and is not named by the store yet.
-    pub fn unrecorded(&self, now: Millis) -> Vec<RefusedWord> {
+    /// Returns the refused requests that the store does not record yet, or may
+    /// have lost.
+    pub fn unrecorded(&self, now: Millis) -> Vec<RefusedReport> {
         let refused = self.refused.iter().filter(|(content, until)| {
-            let is_named = self.recorded.contains_key(content)
-                && !self.record_lost.contains(content);
-            now < **until && !is_named
+            let is_recorded = self.recorded.contains_key(content)
+                && !self.unconfirmed.contains(content);
+            now < **until && !is_recorded
         });
-        let words = refused.map(|(content, until)| RefusedWord {
+        let reports = refused.map(|(content, until)| RefusedReport {
             content: *content,
             left_ms: until.since(now),
         });
-        words.collect()
+        reports.collect()
     }
 
-    /// Returns whom the store names although an upstream answered it.
-    pub fn recorded_in_vain(&self) -> Vec<RequestContent> {
+    /// Returns the requests that the store records as refused although an
+    /// upstream has answered them.
+    pub fn recorded_but_answered(&self) -> Vec<RequestContent> {
         let recorded = self.recorded.keys().copied();
         recorded
             .filter(|content| self.answered.contains_key(content))
             .collect()
     }
 
-    /// Tells whether it is known that an upstream crashed.
+    /// Returns whether a crash of this start of an upstream is recorded.
     pub fn has_crashed(&self, upstream: UpstreamTag) -> bool {
         self.crashes.contains_key(&upstream)
     }
 
-    /// Notes that an upstream was seen to have crashed, with requests that
-    /// were there and had no output.
-    pub fn crashed(
+    /// Records a crash that this instance detected, with the requests that
+    /// were in flight there without output.
+    pub fn record_crash(
         &mut self,
         upstream: UpstreamTag,
-        under_way: impl IntoIterator<Item = RequestContent>,
+        in_flight: impl IntoIterator<Item = RequestContent>,
         now: Millis,
     ) {
-        if self.add_crash(upstream, now + self.keep_ms, under_way) {
-            self.news.insert(News::Crash(upstream));
-            self.judge(now);
+        if self.add_crash(upstream, now + self.retention_ms, in_flight) {
+            self.pending.insert(Update::Crash(upstream));
+            self.update_refused(now);
         }
     }
 
-    /// Notes that an upstream answered a request, or began to.
-    pub fn answered(&mut self, content: RequestContent, now: Millis) {
+    /// Records that an upstream answered a request or began to answer it.
+    ///
+    /// Does nothing for a request that was in flight at no recorded crash.
+    pub fn record_answer(&mut self, content: RequestContent, now: Millis) {
         let mut crashes = self.crashes.values();
-        let is_suspect = crashes.any(|one| one.under_way.contains(&content));
-        let until = now + self.keep_ms;
-        if is_suspect && add(&mut self.answered, content, until) {
-            self.news.insert(News::Answered(content));
-            self.judge(now);
+        let is_suspect = crashes.any(|one| one.in_flight.contains(&content));
+        let until = now + self.retention_ms;
+        if is_suspect && insert_earliest(&mut self.answered, content, until) {
+            self.pending.insert(Update::Answered(content));
+            self.update_refused(now);
         }
     }
 
-    /// Notes that the store came back from a copy: it may not name any more
-    /// whom it named.
-    pub fn record_may_be_lost(&mut self) {
-        self.record_lost = self.recorded.keys().copied().collect();
+    /// Marks all records of the store as unconfirmed: the store was restored
+    /// from a copy and may have lost some of them.
+    pub fn on_store_restored(&mut self) {
+        self.unconfirmed = self.recorded.keys().copied().collect();
     }
 
-    /// Takes in which requests the store names.
-    pub fn recorded(&mut self, refused: Vec<RefusedWord>, now: Millis) {
-        for word in &refused {
-            self.record_lost.remove(&word.content);
+    /// Receives the requests that the store records as refused.
+    pub fn receive_recorded(
+        &mut self,
+        refused: Vec<RefusedReport>,
+        now: Millis,
+    ) {
+        for report in &refused {
+            self.unconfirmed.remove(&report.content);
         }
-        let words = CrashWords { refused, ..CrashWords::default() };
-        self.hear(&words, now);
+        let reports = CrashReports { refused, ..CrashReports::default() };
+        self.receive(&reports, now);
     }
 
-    /// Takes in what another instance tells.
-    pub fn hear(&mut self, words: &CrashWords, now: Millis) {
-        let mut is_news = false;
-        for word in words.crashes.iter().take(MOST_CRASHES) {
-            let until = now + word.left_ms.min(self.keep_ms);
-            let under_way = word.under_way.iter().take(MOST_UNDER_WAY);
-            let under_way = under_way.copied();
-            is_news |= self.add_crash(word.upstream, until, under_way);
+    /// Merges the reports of another instance.
+    ///
+    /// Lists longer than this book may hold are truncated.
+    pub fn receive(&mut self, reports: &CrashReports, now: Millis) {
+        let mut is_changed = false;
+        for report in reports.crashes.iter().take(MAX_CRASHES) {
+            let until = now + report.left_ms.min(self.retention_ms);
+            let in_flight = report.in_flight.iter().take(MAX_REQUESTS);
+            let in_flight = in_flight.copied();
+            is_changed |= self.add_crash(report.upstream, until, in_flight);
         }
-        for word in words.answered.iter().take(MOST_UNDER_WAY) {
-            let until = now + word.left_ms.min(self.keep_ms);
-            is_news |= add(&mut self.answered, word.content, until);
+        for report in reports.answered.iter().take(MAX_REQUESTS) {
+            let until = now + report.left_ms.min(self.retention_ms);
+            is_changed |=
+                insert_earliest(&mut self.answered, report.content, until);
         }
-        for word in words.refused.iter().take(MOST_REFUSED) {
-            let until = now + word.left_ms.min(self.keep_ms);
-            is_news |= add(&mut self.recorded, word.content, until);
+        for report in reports.refused.iter().take(MAX_RECORDED) {
+            let until = now + report.left_ms.min(self.retention_ms);
+            is_changed |=
+                insert_earliest(&mut self.recorded, report.content, until);
         }
-        if is_news {
-            self.judge(now);
+        if is_changed {
+            self.update_refused(now);
         }
     }
 
-    /// Returns all that counts.
-    pub fn words(&self, now: Millis) -> CrashWords {
+    /// Returns reports of all records that have not expired.
+    pub fn reports(&self, now: Millis) -> CrashReports {
         let crashes = self.crashes.keys();
         let answered = self.answered.keys();
-        CrashWords {
+        CrashReports {
             crashes: crashes
-                .filter_map(|one| self.crash_word(*one, now))
+                .filter_map(|one| self.crash_report(*one, now))
                 .collect(),
             answered: answered
-                .filter_map(|one| self.answered_word(*one, now))
+                .filter_map(|one| self.answered_report(*one, now))
                 .collect(),
             refused: self
                 .recorded
                 .iter()
                 .filter(|(_, until)| now < **until)
-                .map(|(content, until)| RefusedWord {
+                .map(|(content, until)| RefusedReport {
                     content: *content,
                     left_ms: until.since(now),
                 })
@@ -211,111 +232,121 @@
         }
     }
 
-    /// Takes what this instance noted since it was last told.
-    pub fn take_news(&mut self, now: Millis) -> CrashWords {
-        let mut words = CrashWords::default();
-        for one in std::mem::take(&mut self.news) {
+    /// Takes the records of this instance's own that have not been sent yet.
+    pub fn take_updates(&mut self, now: Millis) -> CrashReports {
+        let mut reports = CrashReports::default();
+        for one in std::mem::take(&mut self.pending) {
             match one {
-                News::Crash(upstream) => {
-                    words.crashes.extend(self.crash_word(upstream, now));
+                Update::Crash(upstream) => {
+                    reports.crashes.extend(self.crash_report(upstream, now));
                 }
-                News::Answered(content) => {
-                    words.answered.extend(self.answered_word(content, now));
+                Update::Answered(content) => {
+                    reports
+                        .answered
+                        .extend(self.answered_report(content, now));
                 }
             }
         }
-        words
+        reports
     }
 
-    fn crash_word(
+    fn crash_report(
         &self,
         upstream: UpstreamTag,
         now: Millis,
-    ) -> Option<CrashWord> {
+    ) -> Option<CrashReport> {
         let crash = self.crashes.get(&upstream)?;
-        (now < crash.until).then(|| CrashWord {
+        (now < crash.until).then(|| CrashReport {
             upstream,
             left_ms: crash.until.since(now),
-            under_way: crash.under_way.iter().copied().collect(),
+            in_flight: crash.in_flight.iter().copied().collect(),
         })
     }
 
-    fn answered_word(
+    fn answered_report(
         &self,
         content: RequestContent,
         now: Millis,
-    ) -> Option<AnsweredWord> {
+    ) -> Option<AnsweredReport> {
         let until = *self.answered.get(&content)?;
         (now < until)
-            .then(|| AnsweredWord { content, left_ms: until.since(now) })
+            .then(|| AnsweredReport { content, left_ms: until.since(now) })
     }
 
-    /// Returns a number that is the same for instances that know the same, and
-    /// 0 for those that know nothing.
+    /// Returns a hash of all records that have not expired, or 0 if there are
+    /// none.
+    ///
+    /// Instances with the same records have the same digest. Expiry times are
+    /// left out, since they differ by the transit times of reports.
     pub fn digest(&self, now: Millis) -> u64 {
-        let words = self.words(now);
-        if words.is_empty() {
+        let reports = self.reports(now);
+        if reports.is_empty() {
             return 0;
         }
         let mut hasher = Xxh3::new();
-        for word in &words.crashes {
-            (word.upstream, &word.under_way).hash(&mut hasher);
+        for report in &reports.crashes {
+            (report.upstream, &report.in_flight).hash(&mut hasher);
         }
-        for word in &words.answered {
-            word.content.hash(&mut hasher);
+        for report in &reports.answered {
+            report.content.hash(&mut hasher);
         }
-        for word in &words.refused {
-            word.content.hash(&mut hasher);
+        for report in &reports.refused {
+            report.content.hash(&mut hasher);
         }
         hasher.finish().max(1)
     }
 
-    /// Forgets what is over.
-    pub fn sweep(&mut self, now: Millis) {
-        let is_kept = |until: Millis| now.since(until) < ECHOES_FOR_MS;
+    /// Deletes the records whose retention after expiry is over, and ends the
+    /// refusals that have expired.
+    pub fn prune(&mut self, now: Millis) {
+        let is_kept =
+            |until: Millis| now.since(until) < RETAINED_AFTER_EXPIRY_MS;
         self.crashes.retain(|_, crash| is_kept(crash.until));
         self.answered.retain(|_, until| is_kept(*until));
         self.recorded.retain(|_, until| is_kept(*until));
-        self.record_lost.retain(|one| self.recorded.contains_key(one));
+        self.unconfirmed.retain(|one| self.recorded.contains_key(one));
         if self.refused.values().any(|until| now >= *until) {
-            self.judge(now);
+            self.update_refused(now);
         }
     }
 
-    /// Adds a crash, or requests to one; tells whether anything was added.
+    /// Adds a crash, or more requests to a known crash, and returns whether
+    /// anything was added.
     fn add_crash(
         &mut self,
         upstream: UpstreamTag,
         until: Millis,
-        under_way: impl IntoIterator<Item = RequestContent>,
+        in_flight: impl IntoIterator<Item = RequestContent>,
     ) -> bool {
         let is_new = !self.crashes.contains_key(&upstream);
         let crash = self
             .crashes
             .entry(upstream)
-            .or_insert_with(|| Crash { until, under_way: BTreeSet::new() });
+            .or_insert_with(|| Crash { until, in_flight: BTreeSet::new() });
         crash.until = crash.until.min(until);
-        let before = crash.under_way.len();
-        crash.under_way.extend(under_way);
-        let is_news = is_new || crash.under_way.len() > before;
-        if is_news {
-            self.make_room();
+        let before = crash.in_flight.len();
+        crash.in_flight.extend(in_flight);
+        let is_changed = is_new || crash.in_flight.len() > before;
+        if is_changed {
+            self.evict_excess();
         }
-        is_news
+        is_changed
     }
 
-    /// Forgets the oldest crashes where there are too many, those last at
-    /// which a request was that is refused.
-    fn make_room(&mut self) {
+    /// Evicts the oldest crashes and records beyond the limits.
+    ///
+    /// Crashes at which a refused request was in flight are evicted last:
+    /// without them the refusal would end.
+    fn evict_excess(&mut self) {
         loop {
-            let under_way = self.crashes.values().map(|c| c.under_way.len());
-            let is_full = under_way.sum::<usize>() > MOST_UNDER_WAY
-                || self.crashes.len() > MOST_CRASHES;
+            let in_flight = self.crashes.values().map(|c| c.in_flight.len());
+            let is_full = in_flight.sum::<usize>() > MAX_REQUESTS
+                || self.crashes.len() > MAX_CRASHES;
             if !is_full {
                 break;
             }
             let is_explained = |crash: &Crash| {
-                crash.under_way.iter().any(|c| self.refused.contains_key(c))
+                crash.in_flight.iter().any(|c| self.refused.contains_key(c))
             };
             let oldest = self
                 .crashes
@@ -324,7 +355,7 @@
             let Some(oldest) = oldest.map(|(tag, _)| *tag) else { break };
             self.crashes.remove(&oldest);
         }
-        while self.recorded.len() > MOST_REFUSED {
+        while self.recorded.len() > MAX_RECORDED {
             let oldest = self.recorded.iter().min_by_key(|(_, until)| **until);
             let Some(oldest) = oldest.map(|(content, _)| *content) else {
                 break;
@@ -333,8 +364,8 @@
         }
     }
 
-    /// Works out anew who is refused.
-    fn judge(&mut self, now: Millis) {
+    /// Recomputes the set of refused requests.
+    fn update_refused(&mut self, now: Millis) {
         let is_answered =
             |content: &RequestContent| self.answered.contains_key(content);
         let crashes = self.crashes.iter().filter(|(_, c)| now < c.until);
@@ -345,7 +376,7 @@
             .map(|(content, until)| (*content, *until))
             .collect();
         let mut refused =
-            judge(&crashes, recorded.keys().copied(), is_answered);
+            find_culprits(&crashes, recorded.keys().copied(), is_answered);
         refused.extend(recorded);
         if !refused.keys().eq(self.refused.keys()) {
             self.changes += 1;
@@ -354,8 +385,9 @@
     }
 }
 
-/// Adds something that counts until a moment; tells whether it is new.
-fn add(
+/// Inserts a record with its expiry, or keeps the earlier of two expiries, and
+/// returns whether the record is new.
+fn insert_earliest(
     all: &mut BTreeMap<RequestContent, Millis>,
     content: RequestContent,
     until: Millis,
--- a/crates/valehold-core/src/fleet/crashes/content.rs
+++ b/crates/valehold-core/src/fleet/crashes/content.rs
@@ -1,4 +1,4 @@
-//! What a request asks for, as a digest.
+//! Digests that identify requests by their content.
 
 use std::{fmt, str::FromStr};
 
@@ -8,13 +8,13 @@
 
 use crate::id::WorkspaceId;
 
-/// Tells the requests of a fleet apart by what they ask for: host, path,
-/// caller and body.
+/// Identifies a request by its content: host, path, caller and body.
 ///
 /// Two attempts at the same request have different identifiers and the same
-/// content. It is the beginning of a SHA-256 digest, so that no caller can
-/// make a request that passes for another's: 64 bits, of which two in a fleet
-/// with 10,000 contents under watch agree by chance once in 370 billion.
+/// content. The value is the first 64 bits of a SHA-256 digest. A cryptographic
+/// hash keeps callers from making a request that passes for the request of
+/// another caller. Among 10,000 tracked contents of a fleet, the chance
+/// that any two have the same value is 1 in 370 billion.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,7 +22,7 @@
 pub struct RequestContent(u64);
 
 impl RequestContent {
-    /// Makes the digest of a request.
+    /// Computes the digest of a request.
     ///
     /// # Example
     ///
@@ -53,22 +53,22 @@
     }
 }
 
-/// A text that is no request's digest.
+/// The error for a text that is not the digest of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("it is not 16 hexadecimal digits")]
-pub struct NoContent;
+#[error("the digest of a request must be 16 hexadecimal digits")]
+pub struct ParseContentError;
 
 impl FromStr for RequestContent {
-    type Err = NoContent;
+    type Err = ParseContentError;
 
-    /// Reads what its `Display` writes.
+    /// Parses the format that `Display` writes.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let is_hexadecimal = text.bytes().all(|b| b.is_ascii_hexdigit());
         match text.len() == 16 && is_hexadecimal {
-            true => {
-                u64::from_str_radix(text, 16).map(Self).map_err(|_| NoContent)
-            }
-            false => Err(NoContent),
+            true => u64::from_str_radix(text, 16)
+                .map(Self)
+                .map_err(|_| ParseContentError),
+            false => Err(ParseContentError),
         }
     }
 }
--- a/crates/valehold-core/src/fleet/crashes/mod.rs
+++ b/crates/valehold-core/src/fleet/crashes/mod.rs
@@ -1,22 +1,22 @@
-//! Requests that crash the upstreams that run them.
+//! Detection of requests that crash the upstreams that run them.
 //!
-//! When an upstream crashes, each of the requests that waited there without
-//! any output may be the cause. [`CrashBook`] holds what one instance knows of
-//! crashes and of who was there, and says which requests are to be refused
-//! ([`judge`]). Instances tell one another all of it ([`CrashWords`]); what is
-//! known only grows until it is over, so that words may be lost, come late,
-//! twice, or in any order.
+//! When an upstream crashes, each request that was in flight there without
+//! output may be the cause. [`CrashBook`] holds the crashes that one instance
+//! knows of, with the requests in flight at each, and determines which
+//! requests are refused ([`find_culprits`]). Instances exchange all of these
+//! records ([`CrashReports`]). The set of records only grows until records
+//! expire, so reports may be lost, delayed, duplicated or reordered.
 
 mod book;
 mod content;
-mod judge;
+mod culprits;
 mod record;
-mod words;
+mod reports;
 
 pub use self::{
     book::CrashBook,
-    content::{NoContent, RequestContent},
-    judge::{Crash, REFUSED_AFTER, judge},
-    record::{RecordChange, RecordSight, RecordedRefusal},
-    words::{AnsweredWord, CrashWord, CrashWords, RefusedWord},
+    content::{ParseContentError, RequestContent},
+    culprits::{Crash, REFUSED_AFTER_CRASHES, find_culprits},
+    record::{RecordChange, RecordState, RecordedRefusal},
+    reports::{AnsweredReport, CrashReport, CrashReports, RefusedReport},
 };
--- a/crates/valehold-core/src/fleet/crashes/record.rs
+++ b/crates/valehold-core/src/fleet/crashes/record.rs
@@ -1,83 +1,89 @@
-//! What the platform's store keeps of requests that are refused.
+//! The platform's store of refused requests.
 //!
-//! Instances hear from one another who is refused. The store keeps it for when
-//! all of them are gone at once.
+//! Instances report refused requests to one another. The store keeps the
+//! refusals in case all instances stop at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{RefusedWord, RequestContent};
+use super::{RefusedReport, RequestContent};
 
-/// The most that is written, and that is removed, at once: a transaction of
-/// the store has a hundred entries at most.
-const MOST_AT_ONCE: usize = 50;
+/// Maximum number of refusals that one change writes, and that it removes. A
+/// transaction of the store has at most a hundred entries.
+const MAX_CHANGES: usize = 50;
 
-/// A request that the store names as refused.
+/// A request that the store records as refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RecordedRefusal {
     /// The request.
     pub content: RequestContent,
-    /// Until when, by the store's steady clock, in ms.
+    /// When the refusal expires, by the store's steady clock, in ms.
     pub until_ms: u64,
 }
 
-/// What the store names.
+/// The refusals in the store when it was read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RecordSight {
-    /// Requests, those among them whose time is over.
+pub struct RecordState {
+    /// The refusals, including expired ones.
     pub refusals: Vec<RecordedRefusal>,
-    /// The store's steady clock, in ms.
+    /// The time of the store's steady clock at the read, in ms.
     pub store_ms: u64,
 }
 
-/// A change of what the store names.
+/// A change to the refusals in the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RecordChange {
-    /// What is to be added.
+    /// The refusals to write.
     pub put: Vec<RecordedRefusal>,
-    /// Whom it is to name no longer.
+    /// The requests whose refusals to delete.
     pub remove: Vec<RequestContent>,
 }
 
 impl RecordChange {
-    /// Tells whether nothing is to be changed.
+    /// Returns whether the change has no effect.
     pub fn is_empty(&self) -> bool {
         self.put.is_empty() && self.remove.is_empty()
     }
 }
 
-impl RecordSight {
-    /// Returns who is refused for how much longer.
-    pub fn words(&self) -> Vec<RefusedWord> {
-        let all = self.refusals.iter().map(|one| RefusedWord {
+impl RecordState {
+    /// Returns the unexpired refusals.
+    pub fn unexpired(&self) -> Vec<RefusedReport> {
+        let all = self.refusals.iter().map(|one| RefusedReport {
             content: one.content,
             left_ms: one.until_ms.saturating_sub(self.store_ms),
         });
-        all.filter(|word| word.left_ms > 0).collect()
+        all.filter(|report| report.left_ms > 0).collect()
     }
 
-    /// Returns what is to be changed so that it names those that are
-    /// `refused`, and not those that are `forgotten` or whose time is over.
+    /// Returns the change after which the store records the `refused` requests,
+    /// but neither the `cleared` nor the expired ones.
+    ///
+    /// A change holds at most 50 refusals to write and 50 to delete. The rest
+    /// is part of the changes that are computed after later reads.
     pub fn change(
         &self,
-        refused: &[RefusedWord],
-        forgotten: &[RequestContent],
+        refused: &[RefusedReport],
+        cleared: &[RequestContent],
     ) -> RecordChange {
-        let named: BTreeMap<RequestContent, RefusedWord> =
-            self.words().into_iter().map(|one| (one.content, one)).collect();
+        let recorded: BTreeMap<RequestContent, RefusedReport> = self
+            .unexpired()
+            .into_iter()
+            .map(|one| (one.content, one))
+            .collect();
         let missing =
-            refused.iter().filter(|one| !named.contains_key(&one.content));
-        let put = missing.map(|word| RecordedRefusal {
-            content: word.content,
-            until_ms: self.store_ms.saturating_add(word.left_ms),
+            refused.iter().filter(|one| !recorded.contains_key(&one.content));
+        let put = missing.map(|report| RecordedRefusal {
+            content: report.content,
+            until_ms: self.store_ms.saturating_add(report.left_ms),
         });
-        let put: Vec<RecordedRefusal> = put.take(MOST_AT_ONCE).collect();
-        let written: BTreeSet<RequestContent> =
+        let put: Vec<RecordedRefusal> = put.take(MAX_CHANGES).collect();
+        let put_contents: BTreeSet<RequestContent> =
             put.iter().map(|one| one.content).collect();
-        let over = self.refusals.iter().map(|one| one.content);
-        let over = over.filter(|one| {
-            let stays = named.contains_key(one) && !forgotten.contains(one);
-            !stays && !written.contains(one)
+        let removable = self.refusals.iter().map(|one| one.content);
+        let removable = removable.filter(|one| {
+            let stays = recorded.contains_key(one) && !cleared.contains(one);
+            !stays && !put_contents.contains(one)
         });
-        RecordChange { remove: over.take(MOST_AT_ONCE).collect(), put }
+        RecordChange { remove: removable.take(MAX_CHANGES).collect(), put }
     }
 }
--- a/crates/valehold-core/src/fleet/tests/crashes.rs
+++ b/crates/valehold-core/src/fleet/tests/crashes.rs
@@ -1,16 +1,17 @@
-//! Who is refused because upstreams crash under it, and who is not.
+//! Tests of the detection of requests that crash upstreams.
 
 use googletest::prelude::*;
 use proptest::{collection::vec, prelude::*};
 
 use crate::{
-    fleet::crashes::{CrashBook, CrashWords, RefusedWord, RequestContent},
+    fleet::crashes::{CrashBook, CrashReports, RefusedReport, RequestContent},
     id::UpstreamTag,
     testing::{cases, few_cases},
     time::Millis,
 };
 
-const KEEP_MS: u64 = 600_000;
+/// The time after which a record expires, in ms.
+const RETENTION_MS: u64 = 600_000;
 
 fn content(name: &str) -> RequestContent {
     RequestContent::of("callers.example", name, None, b"")
@@ -24,12 +25,13 @@
     Millis::new(ms)
 }
 
-/// Returns the book of one that saw crashes: number, time, who was there.
-fn seen(crashes: &[(u32, u64, &[&str])]) -> CrashBook {
-    let mut book = CrashBook::new(KEEP_MS);
-    for (number, ms, under_way) in crashes {
-        let under_way = under_way.iter().map(|name| content(name));
-        book.crashed(tag(*number), under_way, at(*ms));
+/// Returns the book of an instance that detected crashes, each given by the
+/// number of the upstream, the time and the requests in flight.
+fn book_of(crashes: &[(u32, u64, &[&str])]) -> CrashBook {
+    let mut book = CrashBook::new(RETENTION_MS);
+    for (number, ms, in_flight) in crashes {
+        let in_flight = in_flight.iter().map(|name| content(name));
+        book.record_crash(tag(*number), in_flight, at(*ms));
     }
     book
 }
@@ -39,27 +41,27 @@
 }
 
 #[gtest]
-fn it_is_refused_after_the_third_crash() {
-    let mut book = seen(&[(1, 1_000, &["p"]), (2, 2_000, &["p"])]);
+fn a_request_is_refused_after_the_third_crash() {
+    let mut book = book_of(&[(1, 1_000, &["p"]), (2, 2_000, &["p"])]);
     expect_false!(is_refused(&book, "p", 2_000));
-    book.crashed(tag(3), [content("p")], at(3_000));
+    book.record_crash(tag(3), [content("p")], at(3_000));
     expect_true!(is_refused(&book, "p", 3_000));
     expect_false!(is_refused(&book, "other", 3_000));
     expect_that!(book.changes(), eq(1));
 }
 
 #[gtest]
-fn one_crash_that_several_saw_counts_once() {
-    let mut book = seen(&[(1, 1_000, &["p"]), (2, 2_000, &["p"])]);
-    book.crashed(tag(2), [content("p")], at(2_500));
-    let words = book.words(at(2_600));
-    book.hear(&words, at(9_000));
+fn a_crash_detected_by_several_instances_counts_once() {
+    let mut book = book_of(&[(1, 1_000, &["p"]), (2, 2_000, &["p"])]);
+    book.record_crash(tag(2), [content("p")], at(2_500));
+    let reports = book.reports(at(2_600));
+    book.receive(&reports, at(9_000));
     expect_false!(is_refused(&book, "p", 9_000));
 }
 
 #[gtest]
-fn who_was_beside_it_is_not_refused() {
-    let book = seen(&[
+fn requests_in_flight_beside_the_culprit_are_not_refused() {
+    let book = book_of(&[
         (1, 1_000, &["p", "a", "b"]),
         (2, 1_200, &["p", "a", "b"]),
         (3, 1_400, &["p", "a", "c"]),
@@ -71,30 +73,31 @@
     }
 }
 
-/// Two that were at the same three: an answer, or the next crash, tells.
+/// Two requests were in flight at the same three crashes. An answer to one of
+/// them, or the next crash, shows which of them is the culprit.
 #[gtest]
-fn of_two_that_moved_on_together_none_is_refused_until_it_is_clear() {
+fn of_two_suspects_at_the_same_crashes_none_is_refused_until_one_is_cleared() {
     let crashes: [(u32, u64, &[&str]); 3] = [
         (1, 1_000, &["p", "a"]),
         (2, 1_200, &["p", "a"]),
         (3, 1_400, &["p", "a"]),
     ];
-    let mut book = seen(&crashes);
+    let mut book = book_of(&crashes);
     expect_false!(is_refused(&book, "p", 1_400));
     expect_false!(is_refused(&book, "a", 1_400));
     let mut answered = book.clone();
-    answered.answered(content("a"), at(1_500));
+    answered.record_answer(content("a"), at(1_500));
     expect_true!(is_refused(&answered, "p", 1_500));
     expect_false!(is_refused(&answered, "a", 1_500));
-    book.crashed(tag(4), [content("p")], at(1_600));
+    book.record_crash(tag(4), [content("p")], at(1_600));
     expect_true!(is_refused(&book, "p", 1_600));
     expect_false!(is_refused(&book, "a", 1_600));
 }
 
-/// `a` was at three crashes, each of one of two others.
+/// `a` was in flight at three crashes, each caused by one of two culprits.
 #[gtest]
-fn who_was_beside_two_of_them_is_not_refused() {
-    let book = seen(&[
+fn a_request_beside_two_culprits_is_not_refused() {
+    let book = book_of(&[
         (1, 1_000, &["p", "a"]),
         (2, 1_300, &["q", "a"]),
         (3, 1_600, &["p", "a"]),
@@ -107,10 +110,11 @@
     expect_false!(is_refused(&book, "a", 2_500));
 }
 
-/// A rack is lost, with requests of the same content at many upstreams.
+/// The loss of a rack crashes many upstreams at once, with requests of the same
+/// content in flight at several of them.
 #[gtest]
-fn a_crash_of_many_upstreams_counts_once() {
-    let mut book = seen(&[
+fn simultaneous_crashes_of_many_upstreams_count_once() {
+    let mut book = book_of(&[
         (1, 1_000, &["a"]),
         (2, 1_020, &["a"]),
         (3, 1_030, &["b"]),
@@ -120,76 +124,80 @@
     for name in ["a", "b", "c"] {
         expect_false!(is_refused(&book, name, 1_100), "{name}");
     }
-    // It does crash upstreams, and happened to be there.
-    book.crashed(tag(6), [content("a")], at(3_000));
+    // `a` does crash upstreams: two later crashes complete the three.
+    book.record_crash(tag(6), [content("a")], at(3_000));
     expect_false!(is_refused(&book, "a", 3_000));
-    book.crashed(tag(7), [content("a")], at(4_000));
+    book.record_crash(tag(7), [content("a")], at(4_000));
     expect_true!(is_refused(&book, "a", 4_000));
 }
 
 #[gtest]
-fn who_was_answered_is_not_refused() {
-    let mut book = seen(&[(1, 1_000, &["a"]), (2, 2_000, &["a"])]);
-    book.answered(content("a"), at(2_500));
+fn an_answered_request_is_not_refused() {
+    let mut book = book_of(&[(1, 1_000, &["a"]), (2, 2_000, &["a"])]);
+    book.record_answer(content("a"), at(2_500));
     for number in 3..9 {
         let ms = u64::from(number) * 1_000;
-        book.crashed(tag(number), [content("a")], at(ms));
+        book.record_crash(tag(number), [content("a")], at(ms));
         expect_false!(is_refused(&book, "a", ms));
     }
 }
 
-/// It is known to others from its words, and after all of them are gone from
-/// the store.
+/// Another instance learns of a refusal from reports, and an instance that
+/// starts after all others stopped learns of it from the store.
 #[gtest]
-fn what_others_tell_counts() {
+fn reports_of_others_and_store_records_count() {
     let book =
-        seen(&[(1, 1_000, &["p"]), (2, 2_000, &["p"]), (3, 3_000, &["p"])]);
-    // A clock that began much later.
-    let mut other = CrashBook::new(KEEP_MS);
-    other.hear(&book.words(at(200_000)), at(5));
+        book_of(&[(1, 1_000, &["p"]), (2, 2_000, &["p"]), (3, 3_000, &["p"])]);
+    // The clock of this instance started much later.
+    let mut other = CrashBook::new(RETENTION_MS);
+    other.receive(&book.reports(at(200_000)), at(5));
     let left = other.refused_ms(&content("p"), at(5));
-    // Until the first of the three is over: 600 s after 1 s.
+    // The first of the three crashes, at 1 s, expires after 600 s.
     expect_that!(left, some(eq(401_000)));
-    let mut later = CrashBook::new(KEEP_MS);
-    let word = RefusedWord { content: content("p"), left_ms: 100_000 };
-    later.recorded(vec![word], at(7));
+    let mut later = CrashBook::new(RETENTION_MS);
+    let report = RefusedReport { content: content("p"), left_ms: 100_000 };
+    later.receive_recorded(vec![report], at(7));
     expect_that!(later.refused_ms(&content("p"), at(7)), some(eq(100_000)));
     expect_that!(later.unrecorded(at(7)), is_empty());
     expect_that!(other.unrecorded(at(7)).len(), eq(1));
-    // A part of the gateways hears in the end that it was answered.
-    later.crashed(tag(9), [content("p")], at(8));
-    later.answered(content("p"), at(9));
-    expect_that!(later.recorded_in_vain(), elements_are![eq(&content("p"))]);
+    // An answer clears the request although the store records it.
+    later.record_crash(tag(9), [content("p")], at(8));
+    later.record_answer(content("p"), at(9));
+    expect_that!(
+        later.recorded_but_answered(),
+        elements_are![eq(&content("p"))]
+    );
     expect_that!(later.refused_ms(&content("p"), at(9)), none());
 }
 
 #[gtest]
-fn it_may_run_again_after_its_time() {
+fn a_refusal_ends_when_its_crashes_expire() {
     let mut book =
-        seen(&[(1, 1_000, &["p"]), (2, 2_000, &["p"]), (3, 3_000, &["p"])]);
+        book_of(&[(1, 1_000, &["p"]), (2, 2_000, &["p"]), (3, 3_000, &["p"])]);
     expect_true!(is_refused(&book, "p", 600_999));
     expect_false!(is_refused(&book, "p", 601_000));
-    book.sweep(at(601_000));
+    book.prune(at(601_000));
     expect_false!(is_refused(&book, "p", 601_001));
-    // The two later ones count still.
-    book.crashed(tag(4), [content("p")], at(601_500));
+    // The two later crashes have not expired.
+    book.record_crash(tag(4), [content("p")], at(601_500));
     expect_true!(is_refused(&book, "p", 601_500));
 }
 
-/// What is over would come back from those who heard of it later.
+/// Guards against expired records that come back for ever from instances that
+/// received them later.
 #[gtest]
-fn words_do_not_live_for_ever() {
+fn exchanged_reports_expire_everywhere() {
     let mut one =
-        seen(&[(1, 1_000, &["p"]), (2, 1_500, &["p"]), (3, 2_000, &["p"])]);
-    one.answered(content("q"), at(2_000));
-    let mut other = CrashBook::new(KEEP_MS);
+        book_of(&[(1, 1_000, &["p"]), (2, 1_500, &["p"]), (3, 2_000, &["p"])]);
+    one.record_answer(content("q"), at(2_000));
+    let mut other = CrashBook::new(RETENTION_MS);
     let mut now = 2_000;
-    while now < 3 * KEEP_MS {
-        other.hear(&one.words(at(now)), at(now + 900));
-        one.hear(&other.words(at(now + 900)), at(now + 1_800));
+    while now < 3 * RETENTION_MS {
+        other.receive(&one.reports(at(now)), at(now + 900));
+        one.receive(&other.reports(at(now + 900)), at(now + 1_800));
         now += 2_000;
-        one.sweep(at(now));
-        other.sweep(at(now));
+        one.prune(at(now));
+        other.prune(at(now));
     }
     expect_true!(one.is_empty());
     expect_true!(other.is_empty());
@@ -197,120 +205,130 @@
 }
 
 #[gtest]
-fn what_is_kept_is_bounded() {
-    let mut book = CrashBook::new(KEEP_MS);
+fn the_size_of_a_book_is_bounded() {
+    let mut book = CrashBook::new(RETENTION_MS);
     for number in 0..3 {
         let ms = 1_000 + u64::from(number) * 200;
-        book.crashed(tag(number), [content("p")], at(ms));
+        book.record_crash(tag(number), [content("p")], at(ms));
     }
     for number in 10..400 {
-        let there = (0..40).map(|one| content(&format!("{number} {one}")));
-        book.crashed(tag(number), there, at(u64::from(number) * 200));
+        let in_flight = (0..40).map(|one| content(&format!("{number} {one}")));
+        book.record_crash(tag(number), in_flight, at(u64::from(number) * 200));
     }
-    let words = book.words(at(400_000));
-    let under_way: usize =
-        words.crashes.iter().map(|one| one.under_way.len()).sum();
-    expect_that!(under_way, le(4_096));
-    expect_that!(words.crashes.len(), le(512));
-    // The newest are kept, and those that explain a refusal.
+    let reports = book.reports(at(400_000));
+    let in_flight: usize =
+        reports.crashes.iter().map(|one| one.in_flight.len()).sum();
+    expect_that!(in_flight, le(4_096));
+    expect_that!(reports.crashes.len(), le(512));
+    // The newest crashes are kept, and those that explain a refusal.
     expect_true!(is_refused(&book, "p", 400_000));
     expect_true!(book.has_crashed(tag(399)));
 }
 
-/// A crash as it was: who caused it, and who was beside it.
+/// A crash as it happened, caused by `culprit` in the test.
 #[derive(Debug, Clone)]
-struct Happened {
+struct TrueCrash {
+    /// The harmless requests in flight beside the culprit.
     beside: Vec<u8>,
+    /// The time since the crash before, in ms.
     after_ms: u64,
-    /// Which instances saw it, each a part of who was there.
-    seen_by: Vec<(usize, Vec<u8>)>,
+    /// The instances that detect the crash, each with the harmless requests
+    /// that it had in flight there.
+    detected_by: Vec<(usize, Vec<u8>)>,
 }
 
 const INSTANCES: usize = 4;
 
-fn happened() -> impl Strategy<Value = Happened> {
+fn true_crash() -> impl Strategy<Value = TrueCrash> {
     let beside = vec(0_u8..12, 0..6);
     (beside, 0_u64..2_000).prop_flat_map(|(beside, after_ms)| {
         let parts = vec(0..INSTANCES, beside.len());
         (Just(beside), Just(after_ms), parts).prop_map(
             |(beside, after_ms, parts)| {
-                let seen_by = (0..INSTANCES).map(|one| {
+                let detected_by = (0..INSTANCES).map(|one| {
                     let own = beside.iter().zip(&parts);
                     let own = own.filter(|(_, part)| **part == one);
                     (one, own.map(|(name, _)| *name).collect())
                 });
-                Happened { seen_by: seen_by.collect(), beside, after_ms }
+                TrueCrash {
+                    detected_by: detected_by.collect(),
+                    beside,
+                    after_ms,
+                }
             },
         )
     })
 }
 
-/// A word that is sent: from whom, to whom, how late; or lost.
+/// A report that is sent: sender, receiver and delay in ms, or `None` if the
+/// report is lost.
 type Sent = (usize, usize, Option<u64>);
 
 proptest! {
     #![proptest_config(few_cases())]
 
-    /// Instances that see a part each, and hear the others' words late, twice
-    /// or never, agree once they have heard of one another; and whoever was
-    /// beside it and was answered is not refused.
+    /// Each instance detects a part of each crash, and reports are delayed,
+    /// duplicated or lost. Once all instances have exchanged their reports,
+    /// their digests agree, the culprit is refused and the harmless requests,
+    /// which were answered, are not.
     #[test]
     fn instances_agree_and_the_answered_are_not_refused(
-        crashes in vec(happened(), 3..9),
+        crashes in vec(true_crash(), 3..9),
         sent in vec(
             (0..INSTANCES, 0..INSTANCES, prop::option::of(0_u64..5_000)),
             0..30,
         ),
-        who_saw in any::<prop::sample::Index>(),
+        detector in any::<prop::sample::Index>(),
     ) {
         let culprit = content("p");
         let name = |number: u8| content(&format!("beside {number}"));
-        let mut books = vec![CrashBook::new(KEEP_MS); INSTANCES];
+        let mut books = vec![CrashBook::new(RETENTION_MS); INSTANCES];
         let mut now = 10_000;
-        let mut late: Vec<(u64, usize, CrashWords)> = Vec::new();
+        let mut delayed: Vec<(u64, usize, CrashReports)> = Vec::new();
         let mut sent = sent.into_iter();
         for (number, crash) in crashes.iter().enumerate() {
             now += crash.after_ms;
             let number = u32::try_from(number).unwrap();
-            for (one, own) in &crash.seen_by {
+            for (one, own) in &crash.detected_by {
                 let own: Vec<_> = own.iter().map(|n| name(*n)).collect();
                 if !own.is_empty() {
-                    books[*one].crashed(tag(number), own, at(now));
+                    books[*one].record_crash(tag(number), own, at(now));
                 }
             }
-            let who = who_saw.index(INSTANCES);
-            books[who].crashed(tag(number), [culprit], at(now));
+            let detector = detector.index(INSTANCES);
+            books[detector].record_crash(tag(number), [culprit], at(now));
             let next: Vec<Sent> = sent.by_ref().take(3).collect();
             for (from, to, delay) in next {
-                let words = books[from].words(at(now));
+                let reports = books[from].reports(at(now));
                 if let Some(delay) = delay {
-                    late.push((now + delay, to, words));
+                    delayed.push((now + delay, to, reports));
                 }
             }
         }
-        for (when, to, words) in late.iter().chain(&late) {
-            books[*to].hear(words, at(now.max(*when)));
+        for (when, to, reports) in delayed.iter().chain(&delayed) {
+            books[*to].receive(reports, at(now.max(*when)));
         }
         now += 6_000;
-        // Whoever was beside it is answered in the end, by some instance.
+        // Some instance answers each harmless request in the end.
         for crash in &crashes {
             for number in &crash.beside {
                 let by = usize::from(*number) % INSTANCES;
-                books[by].answered(name(*number), at(now));
+                books[by].record_answer(name(*number), at(now));
             }
         }
         for _ in 0..2 {
             for from in 0..INSTANCES {
-                let words = books[from].words(at(now));
+                let reports = books[from].reports(at(now));
                 for book in &mut books {
-                    book.hear(&words, at(now + 50));
+                    book.receive(&reports, at(now + 50));
                 }
             }
-            // Those who saw somebody at a crash only now hear of it.
+            // An answer is recorded only by an instance that knows the
+            // request to be a suspect, which some learn from these reports.
             for crash in &crashes {
                 for number in &crash.beside {
                     let by = usize::from(*number) % INSTANCES;
-                    books[by].answered(name(*number), at(now));
+                    books[by].record_answer(name(*number), at(now));
                 }
             }
         }
@@ -332,18 +350,19 @@
 proptest! {
     #![proptest_config(cases())]
 
-    /// Words of anything do no harm but what they say.
+    /// A report of any remaining time, at any clock, refuses a request for no
+    /// longer than the retention time.
     #[test]
-    fn any_words_are_borne(
+    fn no_report_extends_a_refusal_beyond_the_retention(
         left_ms in any::<u64>(),
         number in any::<u32>(),
         now in 0..u64::MAX / 4,
     ) {
-        let mut book = CrashBook::new(KEEP_MS);
-        let word = RefusedWord { content: content("p"), left_ms };
-        book.recorded(vec![word], at(now));
-        book.crashed(tag(number), [], at(now));
+        let mut book = CrashBook::new(RETENTION_MS);
+        let report = RefusedReport { content: content("p"), left_ms };
+        book.receive_recorded(vec![report], at(now));
+        book.record_crash(tag(number), [], at(now));
         let left = book.refused_ms(&content("p"), at(now));
-        prop_assert!(left.unwrap_or(0) <= KEEP_MS);
+        prop_assert!(left.unwrap_or(0) <= RETENTION_MS);
     }
 }
--- a/crates/valehold-gateway/src/control/counted_store.rs
+++ b/crates/valehold-gateway/src/control/counted_store.rs
@@ -7,7 +7,7 @@
 use valehold_core::{
     fleet::{
         Listing,
-        crashes::{RecordChange, RecordSight},
+        crashes::{RecordChange, RecordState},
     },
     lease::LeaseRow,
 };
@@ -103,7 +103,7 @@
         self.count("write_lease", answer)
     }
 
-    fn read_refused(&self) -> Answer<'_, RecordSight> {
+    fn read_refused(&self) -> Answer<'_, RecordState> {
         self.count("read_refused", self.store.read_refused())
     }
 
--- a/crates/valehold-gateway/src/control/crashes.rs
+++ b/crates/valehold-gateway/src/control/crashes.rs
@@ -5,7 +5,7 @@
 
 use valehold_core::{
     Millis,
-    fleet::crashes::{CrashWords, RefusedWord, RequestContent},
+    fleet::crashes::{CrashReports, RefusedReport, RequestContent},
 };
 use valehold_ports::{PortError, port::fleet::FleetStore};
 
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub(super) struct RecordDone {
     /// What the record names now.
-    named: Result<Vec<RefusedWord>, PortError>,
+    named: Result<Vec<RefusedReport>, PortError>,
     forgotten: Vec<RequestContent>,
 }
 
@@ -107,7 +107,7 @@
     fn unrecorded(
         &mut self,
         now: Millis,
-    ) -> (Vec<RefusedWord>, Vec<RequestContent>) {
+    ) -> (Vec<RefusedReport>, Vec<RequestContent>) {
         let book = self.shared.crashes();
         let duty = &mut self.record;
         if duty.changes != book.changes() {
@@ -116,7 +116,7 @@
         if book.is_empty() || now.since(duty.since) < RECORD_AFTER_MS {
             return (Vec::new(), Vec::new());
         }
-        let mut in_vain = book.recorded_in_vain();
+        let mut in_vain = book.recorded_but_answered();
         in_vain.retain(|content| !duty.forgotten.contains(content));
         (book.unrecorded(now), in_vain)
     }
@@ -128,7 +128,8 @@
             Ok(named) => {
                 self.record.has_read = true;
                 self.record.forgotten.extend(done.forgotten);
-                self.shared.change_crashes(|book| book.recorded(named, now));
+                self.shared
+                    .change_crashes(|book| book.receive_recorded(named, now));
             }
             Err(error) => {
                 log::debug!("the record of refused requests: {error}");
@@ -152,8 +153,8 @@
     pub(super) fn tell_crashes(&mut self, now: Millis) {
         let news = {
             let mut book = self.shared.crashes();
-            book.sweep(now);
-            book.take_news(now)
+            book.prune(now);
+            book.take_updates(now)
         };
         if !news.is_empty() {
             self.record.has_seen_crash = true;
@@ -181,29 +182,29 @@
             return;
         }
         told.insert(peer, now);
-        let words = self.shared.crashes().words(now);
+        let words = self.shared.crashes().reports(now);
         self.send([peer], &Message::Crashes(words));
     }
 
     /// Takes in what a peer tells of crashes.
-    pub(super) fn hear_crashes(&self, words: &CrashWords, now: Millis) {
-        self.shared.change_crashes(|book| book.hear(words, now));
+    pub(super) fn hear_crashes(&self, words: &CrashReports, now: Millis) {
+        self.shared.change_crashes(|book| book.receive(words, now));
     }
 }
 
 /// Brings the record up to date, and returns whom it names then.
 async fn record(
     store: &dyn FleetStore,
-    refused: &[RefusedWord],
+    refused: &[RefusedReport],
     in_vain: &[RequestContent],
-) -> Result<Vec<RefusedWord>, PortError> {
+) -> Result<Vec<RefusedReport>, PortError> {
     let sight = store.read_refused().await?;
     let change = sight.change(refused, in_vain);
     let is_to_change = !(refused.is_empty() && in_vain.is_empty());
     if is_to_change && !change.is_empty() {
         store.write_refused(&change).await?;
     }
-    let mut named = sight.words();
+    let mut named = sight.unexpired();
     named.retain(|word| !change.remove.contains(&word.content));
     named.extend_from_slice(refused);
     Ok(named)
--- a/crates/valehold-gateway/src/control/feeds/tests.rs
+++ b/crates/valehold-gateway/src/control/feeds/tests.rs
@@ -11,7 +11,7 @@
     fleet::{
         Catalog, EvacuationNews, Evacuations, Listing,
         catalog::CallerLimits,
-        crashes::{RecordChange, RecordSight},
+        crashes::{RecordChange, RecordState},
     },
     lease::LeaseRow,
 };
@@ -184,7 +184,7 @@
         std::future::pending().boxed()
     }
 
-    fn read_refused(&self) -> Answer<'_, RecordSight> {
+    fn read_refused(&self) -> Answer<'_, RecordState> {
         std::future::pending().boxed()
     }
 
--- a/crates/valehold-gateway/src/control/lease/tests.rs
+++ b/crates/valehold-gateway/src/control/lease/tests.rs
@@ -12,7 +12,7 @@
     Millis,
     fleet::{
         Listing, StoreVersion,
-        crashes::{RecordChange, RecordSight},
+        crashes::{RecordChange, RecordState},
         weight_loads::{Inheritance, LostLoads},
     },
     id::InstanceId,
@@ -129,7 +129,7 @@
         async move { Ok(LeaseWrite::Won { version, store_ms }) }.boxed()
     }
 
-    fn read_refused(&self) -> Answer<'_, RecordSight> {
+    fn read_refused(&self) -> Answer<'_, RecordState> {
         unasked()
     }
 
--- a/crates/valehold-gateway/src/control/store_sight.rs
+++ b/crates/valehold-gateway/src/control/store_sight.rs
@@ -74,7 +74,7 @@
         self.store_era = Some(era);
         if let Some(before) = before {
             Event::StoreRestored { era, before }.log();
-            self.shared.crashes().record_may_be_lost();
+            self.shared.crashes().on_store_restored();
         }
         self.shared.metrics.store_era(era);
     }
--- a/crates/valehold-gateway/src/peers/message.rs
+++ b/crates/valehold-gateway/src/peers/message.rs
@@ -14,7 +14,7 @@
         Asked, Catalog, EngineHolding, Evacuations, ListingDelta, RegionBound,
         UpstreamStart, Variant,
         cold::{RightAnswer, RightAsk},
-        crashes::CrashWords,
+        crashes::CrashReports,
         paces::{PaceNews, PaceObservation},
         upstream_limit::LimitWord,
         usage::{Rulings, UsageTotal},
@@ -454,7 +454,7 @@
     Evacuations(EvacuationWord),
     /// From who saw it: crashes, and requests that were there. To one that
     /// knows something else: all that is known.
-    Crashes(CrashWords),
+    Crashes(CrashReports),
     /// From who had such an answer: upstreams that say that they leave.
     Leaving(Vec<UpstreamStart>),
     /// From who had such an answer: how many requests upstreams in need take.
--- a/crates/valehold-gateway/src/traffic/crashes.rs
+++ b/crates/valehold-gateway/src/traffic/crashes.rs
@@ -84,7 +84,7 @@
     if !app.broken_off.has(&start) {
         return;
     }
-    let is_close = app.shared.crashes().is_close(&job.content());
+    let is_close = app.shared.crashes().is_near_refusal(&job.content());
     while is_close && app.broken_off.has(&start) {
         time::sleep(ASK_AFTER).await;
     }
@@ -120,7 +120,7 @@
     event.log();
     let now = app.now();
     app.shared.change_crashes(|book| {
-        book.crashed(start.tag(), under_way, now);
+        book.record_crash(start.tag(), under_way, now);
     });
 }
 
@@ -131,7 +131,7 @@
         return;
     }
     let (content, now) = (job.content(), app.now());
-    app.shared.change_crashes(|book| book.answered(content, now));
+    app.shared.change_crashes(|book| book.record_answer(content, now));
 }
 
 /// Returns for how much longer a request is refused because it crashes its
--- a/crates/valehold-ports/src/port/fleet.rs
+++ b/crates/valehold-ports/src/port/fleet.rs
@@ -9,7 +9,7 @@
 use valehold_core::{
     fleet::{
         Catalog, EvacuationNews, Holding, Listing, Upstream, Variant,
-        crashes::{RecordChange, RecordSight},
+        crashes::{RecordChange, RecordState},
         upstream_limit::StatedLimit,
         workspace::KeyDigest,
     },
@@ -166,7 +166,7 @@
     ) -> Answer<'a, LeaseWrite>;
 
     /// Reads which requests are refused since they crash upstreams.
-    fn read_refused(&self) -> Answer<'_, RecordSight>;
+    fn read_refused(&self) -> Answer<'_, RecordState>;
 
     /// Changes which requests it names as refused.
     fn write_refused<'a>(&'a self, change: &'a RecordChange)
