--- a/crates/valehold-core/src/fleet/tests/usage.rs
+++ b/crates/valehold-core/src/fleet/tests/usage.rs
@@ -1,5 +1,6 @@
-//! What all gateways together let through stays within limits, whoever hears
-//! whom; and little is refused below them.
+//! Tests that the use of all gateways together stays within a limit, whichever
+//! gateways can reach one another, and that few requests below a limit are
+//! rejected.
 
 use std::collections::VecDeque;
 
@@ -11,8 +12,8 @@
     fleet::{
         RegionBound,
         usage::{
-            LimitSettings, Part, Presence, Ruling, Rulings, SlidingSum,
-            UsageBook, UsageMeter, UsageTotal, Whose,
+            Fraction, LimitSettings, Presence, ReportScope, SlidingSum,
+            Throttle, Throttles, UsageBook, UsageMeter, UsageTotal,
         },
         workspace::{UsageLimit, UsageUnit, Workspace, Workspaces},
     },
@@ -20,7 +21,7 @@
     testing::few_cases,
 };
 
-/// Figures of the users' sheet.
+/// The limit settings that the users stated.
 const SETTINGS: LimitSettings = LimitSettings {
     window_s: 8.0,
     overshoot: 0.1,
@@ -30,13 +31,13 @@
 
 const WINDOW_MS: u64 = 8_000;
 
-/// How often gateways and hubs tell, in ms.
-const TELL_MS: u64 = 150;
+/// The interval of reports and throttles, in ms.
+const REPORT_EVERY_MS: u64 = 150;
 
-/// How long it takes what is told to arrive, in ms.
-const WAY_MS: u64 = 20;
+/// The transit time of a message, in ms.
+const TRANSIT_MS: u64 = 20;
 
-/// How long time passes at once, in ms.
+/// The step by which the simulated time advances, in ms.
 const STEP_MS: u64 = 10;
 
 fn limit(rate: f64) -> UsageLimit {
@@ -52,38 +53,40 @@
     all
 }
 
-/// A pseudo-random number from 0 to 1, the same for the same place.
+/// Returns a pseudo-random number from 0 to 1, the same for the same arguments.
 fn draw(seed: u64, number: u64) -> f64 {
     let hash =
         xxhash_rust::xxh3::xxh3_64_with_seed(&number.to_le_bytes(), seed);
     #[allow(clippy::cast_precision_loss)]
-    let part = (hash >> 11) as f64 / (1_u64 << 53) as f64;
-    part
+    let number = (hash >> 11) as f64 / (1_u64 << 53) as f64;
+    number
 }
 
-enum Told {
+/// A message in transit.
+enum Message {
     Totals { from: usize, totals: Vec<UsageTotal> },
-    Rulings { to: usize, rulings: Rulings },
+    Throttles { to: usize, throttles: Throttles },
 }
 
-/// Gateways, one of each group that hears all others of it, and one
-/// workspace.
+/// Simulates gateways in groups, each with a hub that receives the reports of
+/// its group, and one workspace.
 struct Fleet {
     limit: UsageLimit,
     meters: Vec<UsageMeter>,
     books: Vec<UsageBook>,
     presences: Vec<Presence<usize>>,
-    /// The group of each gateway. Its hub is the one of the least number.
+    /// The group of each gateway. The hub of a group is its gateway with the
+    /// lowest number.
     groups: Vec<usize>,
-    on_the_way: VecDeque<(Millis, Told)>,
+    in_transit: VecDeque<(Millis, Message)>,
     now: Millis,
     seed: u64,
-    drawn: u64,
-    /// What was let through, and when.
+    draws: u64,
+    /// The cost of each admitted request in the last window, with its time.
     used: VecDeque<(Millis, f64)>,
-    refused: f64,
-    asked: f64,
-    most_in_window: f64,
+    rejected: f64,
+    requested: f64,
+    max_in_window: f64,
 }
 
 impl Fleet {
@@ -97,22 +100,22 @@
                 .collect(),
             presences: (0..gateways).map(|_| Presence::new(400)).collect(),
             groups: vec![0; gateways],
-            on_the_way: VecDeque::new(),
+            in_transit: VecDeque::new(),
             now,
             seed,
-            drawn: 0,
+            draws: 0,
             used: VecDeque::new(),
-            refused: 0.0,
-            asked: 0.0,
-            most_in_window: 0.0,
+            rejected: 0.0,
+            requested: 0.0,
+            max_in_window: 0.0,
         };
-        fleet.meet();
+        fleet.update_presence();
         fleet
     }
 
     fn draw(&mut self) -> f64 {
-        self.drawn += 1;
-        draw(self.seed, self.drawn)
+        self.draws += 1;
+        draw(self.seed, self.draws)
     }
 
     fn group_of(&self, gateway: usize) -> Vec<usize> {
@@ -121,44 +124,44 @@
         all.filter(|other| self.groups[*other] == group).collect()
     }
 
-    /// Each gateway hears who is in its group.
-    fn meet(&mut self) {
+    /// Updates the presence of each gateway to its group.
+    fn update_presence(&mut self) {
         for gateway in 0..self.groups.len() {
             let group = self.group_of(gateway);
             let seen = group.iter().map(|one| self.presences[*one].seen());
-            let told = seen.max().unwrap_or(0);
+            let reported = seen.max().unwrap_or(0);
             let presence = &mut self.presences[gateway];
-            presence.update(group, [], told, self.now);
-            self.meters[gateway].set_own_part(presence.own_part(self.now));
+            presence.update(group, [], reported, self.now);
+            self.meters[gateway].set_own_share(presence.own_share(self.now));
         }
     }
 
+    /// Partitions the network into groups and drops all messages in transit.
     fn cut(&mut self, groups: Vec<usize>) {
         self.groups = groups;
-        self.on_the_way.clear();
+        self.in_transit.clear();
     }
 
-    /// A request comes to a gateway.
-    fn ask(&mut self, gateway: usize, cost: f64) {
+    /// Sends a request to a gateway.
+    fn request(&mut self, gateway: usize, cost: f64) {
         let draw = self.draw();
         let now = self.now;
         let name = WorkspaceId::new("north");
         let meter = &mut self.meters[gateway];
-        let let_through =
-            meter.let_through(&name, &self.limit, cost, draw, now);
-        self.asked += cost;
-        match let_through {
+        let admitted = meter.admit(&name, &self.limit, cost, draw, now);
+        self.requested += cost;
+        match admitted {
             Ok(()) => self.used.push_back((now, cost)),
-            Err(_) => self.refused += cost,
+            Err(_) => self.rejected += cost,
         }
     }
 
-    /// Lets time pass, with so much asked for a second in requests of one
-    /// size, spread over all gateways by chance.
-    fn run(&mut self, for_ms: u64, asked_rate: f64, cost: f64) {
+    /// Advances the time while requests of one cost arrive at random gateways, at
+    /// `requested_rate` of the limit's unit per second.
+    fn run(&mut self, for_ms: u64, requested_rate: f64, cost: f64) {
         let until = self.now + for_ms;
         #[allow(clippy::cast_precision_loss)]
-        let chance = asked_rate / cost * STEP_MS as f64 / 1_000.0;
+        let chance = requested_rate / cost * STEP_MS as f64 / 1_000.0;
         while self.now < until {
             self.now = self.now + STEP_MS;
             let mut left = chance;
@@ -171,25 +174,26 @@
                     )]
                     let gateway =
                         (self.draw() * self.groups.len() as f64) as usize;
-                    self.ask(gateway, cost);
+                    self.request(gateway, cost);
                 }
                 left -= 1.0;
             }
-            if self.now.get().is_multiple_of(TELL_MS) {
-                self.tell();
+            if self.now.get().is_multiple_of(REPORT_EVERY_MS) {
+                self.send_reports();
             }
-            self.arrive();
-            self.note_window();
+            self.deliver();
+            self.record_window();
         }
     }
 
-    fn tell(&mut self) {
-        self.meet();
-        let arrives = self.now + WAY_MS;
+    /// Sends the reports of all gateways, and the throttles of all hubs.
+    fn send_reports(&mut self) {
+        self.update_presence();
+        let arrival = self.now + TRANSIT_MS;
         for gateway in 0..self.groups.len() {
-            let totals = self.meters[gateway].news(self.now);
-            let told = Told::Totals { from: gateway, totals };
-            self.on_the_way.push_back((arrives, told));
+            let totals = self.meters[gateway].changed_totals(self.now);
+            let message = Message::Totals { from: gateway, totals };
+            self.in_transit.push_back((arrival, message));
         }
         let workspaces = workspaces(self.limit);
         for hub in 0..self.groups.len() {
@@ -197,76 +201,90 @@
             if group[0] != hub {
                 continue;
             }
-            let part = self.presences[hub].part(self.now);
+            let share = self.presences[hub].share(self.now);
             let book = &mut self.books[hub];
-            book.pass(&workspaces, part, self.now);
-            let rulings = Rulings {
+            book.advance(&workspaces, share, self.now);
+            let throttles = Throttles {
                 seen: 0,
                 present: u32::try_from(group.len()).unwrap(),
-                workspaces: book.rule(&workspaces, part, self.now),
+                workspaces: book.throttles(&workspaces, share, self.now),
             };
-            if !self.presences[hub].may_rule() || book.catches_up(self.now) {
+            if !self.presences[hub].may_throttle()
+                || book.is_catching_up(self.now)
+            {
                 continue;
             }
             for to in group {
-                let told = Told::Rulings { to, rulings: rulings.clone() };
-                self.on_the_way.push_back((arrives, told));
+                let message =
+                    Message::Throttles { to, throttles: throttles.clone() };
+                self.in_transit.push_back((arrival, message));
             }
         }
     }
 
-    fn arrive(&mut self) {
-        while self.on_the_way.front().is_some_and(|(at, _)| *at <= self.now) {
-            let Some((_, told)) = self.on_the_way.pop_front() else { return };
-            match told {
-                Told::Totals { from, totals } => {
+    /// Delivers the messages whose transit time is over.
+    fn deliver(&mut self) {
+        while self.in_transit.front().is_some_and(|(at, _)| *at <= self.now) {
+            let Some((_, message)) = self.in_transit.pop_front() else {
+                return;
+            };
+            match message {
+                Message::Totals { from, totals } => {
                     let hub = self.group_of(from)[0];
                     let id = InstanceId::new(format!("g{from}"));
                     let book = &mut self.books[hub];
-                    book.hear(&id, 1, &totals, Whose::Member, self.now);
+                    book.receive(
+                        &id,
+                        1,
+                        &totals,
+                        ReportScope::Member,
+                        self.now,
+                    );
                 }
-                Told::Rulings { to, rulings } => {
-                    self.meters[to].rule(&rulings, self.now);
+                Message::Throttles { to, throttles } => {
+                    self.meters[to].apply(&throttles, self.now);
                 }
             }
         }
     }
 
-    fn note_window(&mut self) {
-        let young = |at: Millis| self.now.since(at) < WINDOW_MS;
-        while self.used.front().is_some_and(|(at, _)| !young(*at)) {
+    /// Updates the maximum use in a window.
+    fn record_window(&mut self) {
+        let is_recent = |at: Millis| self.now.since(at) < WINDOW_MS;
+        while self.used.front().is_some_and(|(at, _)| !is_recent(*at)) {
             self.used.pop_front();
         }
         let sum: f64 = self.used.iter().map(|(_, cost)| cost).sum();
-        self.most_in_window = self.most_in_window.max(sum);
+        self.max_in_window = self.max_in_window.max(sum);
     }
 
-    /// Returns what may be used in a window, with what it may be over.
+    /// Returns the maximum use in a window, with the tolerance.
     fn allowed(&self) -> f64 {
         SETTINGS.budget(&self.limit) * (1.0 + SETTINGS.overshoot)
             + SETTINGS.slack
     }
 
-    fn refused_part(&self) -> f64 {
-        self.refused / self.asked
+    fn rejected_fraction(&self) -> f64 {
+        self.rejected / self.requested
     }
 }
 
-/// Rates of the users' largest and smallest workspaces; their usual use is
-/// 0.56 of that.
+/// Rates of the users' largest and smallest workspaces.
 const RATES: [f64; 2] = [567_000.0, 62_000.0];
+
+/// The fraction of its rate that a workspace usually uses.
 const USUAL: f64 = 0.56;
 
-/// A long request, as most of what is asked for is made of.
+/// The cost of a long request; these make up most of the use.
 const LONG: f64 = 10_000.0;
 
 #[gtest]
-fn usual_use_is_let_through() {
+fn usual_use_is_admitted() {
     for rate in RATES {
         let mut fleet = Fleet::new(60, limit(rate), 7);
         fleet.run(2_000, rate * USUAL, LONG);
         fleet.run(60_000, rate * USUAL, LONG);
-        expect_that!(fleet.refused_part(), lt(0.01), "{rate}");
+        expect_that!(fleet.rejected_fraction(), lt(0.01), "{rate}");
     }
 }
 
@@ -280,7 +298,7 @@
             fleet.run(12_000, flood, LONG);
             let allowed = fleet.allowed();
             let what = format!("{rate} x {times}");
-            expect_that!(fleet.most_in_window, lt(allowed), "{what}");
+            expect_that!(fleet.max_in_window, lt(allowed), "{what}");
             let used: f64 = fleet.used.iter().map(|(_, cost)| cost).sum();
             let budget = SETTINGS.budget(&fleet.limit);
             expect_that!(used, gt(budget * 0.9), "{what}");
@@ -289,16 +307,16 @@
 }
 
 #[gtest]
-fn gateways_that_cannot_hear_one_another_stay_within_the_limit_together() {
-    let all_alone = (0..60).collect::<Vec<usize>>();
+fn partitioned_gateways_stay_within_the_limit_together() {
+    let all_isolated = (0..60).collect::<Vec<usize>>();
     let halves = (0..60).map(|gateway| gateway % 2).collect::<Vec<_>>();
-    let a_third = |gateway: usize| match gateway {
+    let two_thirds_together = |gateway: usize| match gateway {
         0..40 => 0,
-        alone => alone,
+        isolated => isolated,
     };
-    let some_alone = (0..60).map(a_third).collect::<Vec<_>>();
+    let some_isolated = (0..60).map(two_thirds_together).collect::<Vec<_>>();
     for rate in RATES {
-        for groups in [&all_alone, &halves, &some_alone] {
+        for groups in [&all_isolated, &halves, &some_isolated] {
             let mut fleet = Fleet::new(60, limit(rate), 13);
             fleet.run(10_000, rate * USUAL, LONG);
             fleet.cut(groups.clone());
@@ -306,42 +324,44 @@
             fleet.cut(vec![0; 60]);
             fleet.run(10_000, rate * USUAL * 6.0, LONG);
             let allowed = fleet.allowed();
-            expect_that!(fleet.most_in_window, lt(allowed), "{rate}");
+            expect_that!(fleet.max_in_window, lt(allowed), "{rate}");
         }
     }
 }
 
-/// Of the smallest workspace, a gateway's part of a window is less than one
-/// long request, and half of it was used by all before the cut.
+/// For the smallest workspace, a gateway's share of a window is less than the
+/// cost of one long request, and all gateways together had used half of the
+/// window's budget before the partition.
 #[gtest]
-fn usual_use_is_let_through_in_part_at_gateways_that_are_cut_off() {
-    for (rate, most_refused) in [(567_000.0, 0.05), (62_000.0, 0.6)] {
-        let refused = (0..10).map(|seed| {
+fn isolated_gateways_admit_a_part_of_usual_use() {
+    for (rate, max_rejected) in [(567_000.0, 0.05), (62_000.0, 0.6)] {
+        let rejected = (0..10).map(|seed| {
             let mut fleet = Fleet::new(60, limit(rate), seed);
             fleet.run(10_000, rate * USUAL, LONG);
-            (fleet.asked, fleet.refused) = (0.0, 0.0);
+            (fleet.requested, fleet.rejected) = (0.0, 0.0);
             fleet.cut((0..60).collect());
             fleet.run(12_000, rate * USUAL, LONG);
-            fleet.refused_part()
+            fleet.rejected_fraction()
         });
-        let mean = refused.sum::<f64>() / 10.0;
-        expect_that!(mean, lt(most_refused), "{rate}");
+        let mean = rejected.sum::<f64>() / 10.0;
+        expect_that!(mean, lt(max_rejected), "{rate}");
     }
 }
 
 #[gtest]
-fn a_limit_that_is_lowered_is_kept_to_a_window_later() {
+fn a_lowered_limit_holds_one_window_later() {
     let mut fleet = Fleet::new(60, limit(325_000.0), 19);
     fleet.run(10_000, 325_000.0 * USUAL, LONG);
     fleet.limit = limit(60_000.0);
     fleet.run(WINDOW_MS, 325_000.0 * USUAL, LONG);
-    fleet.most_in_window = 0.0;
+    fleet.max_in_window = 0.0;
     fleet.run(20_000, 325_000.0 * USUAL, LONG);
-    expect_that!(fleet.most_in_window, lt(fleet.allowed()));
+    expect_that!(fleet.max_in_window, lt(fleet.allowed()));
 }
 
-/// Presences of groups that cannot hear one another.
-fn parts(groups: &[usize], after_ms: u64) -> f64 {
+/// Returns the sum of the shares of groups that cannot reach one another, some
+/// time after the partition.
+fn sum_of_shares(groups: &[usize], after_ms: u64) -> f64 {
     let gateways = groups.len();
     let mut presences: Vec<Presence<usize>> =
         (0..gateways).map(|_| Presence::new(400)).collect();
@@ -356,13 +376,13 @@
         let group = groups[gateway];
         let members: Vec<usize> =
             (0..gateways).filter(|one| groups[*one] == group).collect();
-        // It hears its group all the while.
+        // The gateway reaches its group all the time.
         for at in (0..=after_ms).step_by(500) {
             let at = Millis::new(at);
             presences[gateway].update(members.clone(), [], 0, at);
         }
         if counted.insert(group) {
-            sum += presences[gateway].part(now);
+            sum += presences[gateway].share(now);
         }
     }
     sum
@@ -371,18 +391,18 @@
 proptest! {
     #![proptest_config(few_cases())]
 
-    /// Also after those that are not heard were taken for gone.
+    /// This also holds after the silent gateways count as gone.
     #[test]
-    fn parts_of_groups_sum_to_one_at_the_most(
+    fn shares_of_partitioned_groups_sum_to_at_most_one(
         groups in prop::collection::vec(0_usize..4, 2..9),
         after_s in 0_u64..130,
     ) {
-        let sum = parts(&groups, after_s * 1_000);
+        let sum = sum_of_shares(&groups, after_s * 1_000);
         prop_assert!(sum <= 1.0 + 1e-9, "{sum}");
     }
 
     #[test]
-    fn floods_and_cuts_in_any_order_stay_within_the_limit(
+    fn floods_and_partitions_in_any_order_stay_within_the_limit(
         seed in any::<u64>(),
         rate in 20_000.0..600_000.0_f64,
         cost in 200.0..20_000.0_f64,
@@ -391,7 +411,7 @@
             1..8,
         ),
     ) {
-        // A burst holds some requests, as on the users' sheet it does seven.
+        // A burst covers at least four requests; the users' bursts cover seven.
         let cost = cost.min(rate / 4.0);
         let mut fleet = Fleet::new(12, limit(rate), seed);
         fleet.run(3_000, rate * USUAL, cost);
@@ -405,58 +425,59 @@
             fleet.run(for_ms, rate * times, cost);
             let allowed = fleet.allowed();
             prop_assert!(
-                fleet.most_in_window <= allowed,
-                "{} of {allowed}", fleet.most_in_window,
+                fleet.max_in_window <= allowed,
+                "{} of {allowed}", fleet.max_in_window,
             );
         }
     }
 
-    /// A sliding sum is never below the true one.
+    /// A sliding sum is never below the exact sum, and covers at most an eighth
+    /// of a window more.
     #[test]
-    fn a_sliding_sum_forgets_nothing_too_soon(
+    fn a_sliding_sum_drops_nothing_too_early(
         adds in prop::collection::vec((0_u64..900, 0.0..50.0_f64), 1..80),
     ) {
         let mut sum = SlidingSum::new(WINDOW_MS);
         let mut now = Millis::new(0);
         let mut all: Vec<(Millis, f64)> = Vec::new();
-        for (pass, amount) in adds {
-            now = now + pass;
+        for (after_ms, amount) in adds {
+            now = now + after_ms;
             sum.add(amount, now);
             all.push((now, amount));
-            let young = all.iter().filter(|(at, _)| now.since(*at) < WINDOW_MS);
-            let exact: f64 = young.map(|(_, amount)| amount).sum();
+            let recent = all.iter().filter(|(at, _)| now.since(*at) < WINDOW_MS);
+            let exact: f64 = recent.map(|(_, amount)| amount).sum();
             let older = all.iter().filter(|(at, _)| {
                 now.since(*at) < WINDOW_MS + WINDOW_MS / 8
             });
             let most: f64 = older.map(|(_, amount)| amount).sum();
-            let told = sum.sum(now);
-            prop_assert!(told >= exact - 1e-6 && told <= most + 1e-6);
+            let sliding = sum.sum(now);
+            prop_assert!(sliding >= exact - 1e-6 && sliding <= most + 1e-6);
         }
     }
 }
 
 #[gtest]
-fn what_did_not_run_is_given_back() {
+fn the_cost_of_a_request_that_did_not_run_is_refunded() {
     let name = WorkspaceId::new("north");
     let limit = limit(4_000.0);
     let mut meter =
         UsageMeter::new(LimitSettings { instances: 1, ..SETTINGS });
     let now = Millis::new(1_000);
     for _ in 0..10 {
-        let through = meter.let_through(&name, &limit, 36_000.0, 0.5, now);
-        expect_that!(through, ok(anything()));
-        let refused = meter.let_through(&name, &limit, 36_000.0, 0.5, now);
-        let refused = refused.expect_err("the limit is reached");
-        expect_that!(refused.come_back_ms, ge(7_000));
-        meter.give_back(&name, 36_000.0, now);
+        let admitted = meter.admit(&name, &limit, 36_000.0, 0.5, now);
+        expect_that!(admitted, ok(anything()));
+        let rejected = meter.admit(&name, &limit, 36_000.0, 0.5, now);
+        let rejected = rejected.expect_err("the limit is reached");
+        expect_that!(rejected.retry_after_ms, ge(7_000));
+        meter.refund(&name, 36_000.0, now);
     }
-    let news = meter.news(now);
-    expect_that!(news[0].used, eq(0));
-    expect_that!(news[0].asked, eq(360_000));
+    let totals = meter.changed_totals(now);
+    expect_that!(totals[0].used, eq(0));
+    expect_that!(totals[0].requested, eq(360_000));
 }
 
 #[gtest]
-fn a_gateway_that_comes_back_is_not_charged_for_its_time_alone() {
+fn use_during_isolation_is_not_counted_as_new() {
     let name = WorkspaceId::new("north");
     let limit = limit(100_000.0);
     let all = workspaces(limit);
@@ -465,75 +486,77 @@
     let total = |used| UsageTotal {
         workspace: name.tag(),
         used,
-        asked: used,
-        lately: 1_000,
+        requested: used,
+        used_in_window: 1_000,
     };
-    book.hear(&id, 1, &[total(1_000)], Whose::Member, Millis::new(0));
+    book.receive(&id, 1, &[total(1_000)], ReportScope::Member, Millis::new(0));
     let back = Millis::new(9_000);
     for at in (150..=9_000).step_by(150) {
-        book.pass(&all, 1.0, Millis::new(at));
+        book.advance(&all, 1.0, Millis::new(at));
     }
-    book.hear(&id, 1, &[total(900_000)], Whose::Member, back);
-    book.pass(&all, 1.0, back + 150);
-    expect_that!(book.rule(&all, 1.0, back + 150), is_empty());
+    book.receive(&id, 1, &[total(900_000)], ReportScope::Member, back);
+    book.advance(&all, 1.0, back + 150);
+    expect_that!(book.throttles(&all, 1.0, back + 150), is_empty());
 }
 
-/// On the bench: a hub that was frozen for 7 s ruled for the few that it heard
-/// again, and a thousand requests of all workspaces were refused.
+/// On the test bench, a hub that was frozen for 7 s computed throttles from the
+/// reports of the few gateways that had reached it again, and a thousand
+/// requests of all workspaces were rejected.
 #[gtest]
-fn rulings_for_far_fewer_gateways_are_passed_over() {
+fn throttles_that_cover_far_fewer_gateways_are_ignored() {
     let name = WorkspaceId::new("north");
-    let ruling = |present, part| Rulings {
+    let throttles = |present, admitted| Throttles {
         seen: 60,
         present,
-        workspaces: vec![Ruling {
+        workspaces: vec![Throttle {
             workspace: name.tag(),
-            let_through: Part::new(part),
-            used: Part::new(0.5),
+            admitted: Fraction::new(admitted),
+            used: Fraction::new(0.5),
         }],
     };
     let mut meter = UsageMeter::new(SETTINGS);
-    meter.set_own_part(1.0 / 60.0);
+    meter.set_own_share(1.0 / 60.0);
     let limit = limit(600_000.0);
-    let is_through = |meter: &mut UsageMeter, now| {
-        meter.let_through(&name, &limit, LONG, 0.5, now).is_ok()
+    let is_admitted = |meter: &mut UsageMeter, now| {
+        meter.admit(&name, &limit, LONG, 0.5, now).is_ok()
     };
     let now = Millis::new(20_000);
-    meter.rule(&ruling(60, 1.0), now);
-    meter.rule(&ruling(10, 0.0), now + 100);
-    expect_true!(is_through(&mut meter, now + 500));
-    // Most are gone: those that are left have their part.
-    meter.rule(&ruling(10, 0.0), now + 1_200);
-    expect_false!(is_through(&mut meter, now + 1_300));
+    meter.apply(&throttles(60, 1.0), now);
+    meter.apply(&throttles(10, 0.0), now + 100);
+    expect_true!(is_admitted(&mut meter, now + 500));
+    // Most gateways are gone: the throttles of the others apply.
+    meter.apply(&throttles(10, 0.0), now + 1_200);
+    expect_false!(is_admitted(&mut meter, now + 1_300));
 }
 
-/// On the bench: a gateway tells of the workspaces that are used just now, so
-/// a hub that was frozen first heard of some a while after their gateway, and
-/// took all that they had used since they started for new.
+/// A gateway reports only workspaces that are in use. On the test bench, a hub
+/// that was frozen received the totals of some workspaces a while after the
+/// first report of their gateway, and counted all use since the gateway started
+/// as new.
 #[gtest]
-fn what_was_used_before_a_book_heard_of_it_is_not_new() {
+fn use_before_the_first_report_of_a_workspace_is_not_new() {
     let name = WorkspaceId::new("north");
     let limit = limit(100_000.0);
     let all = workspaces(limit);
     let mut book = UsageBook::new(SETTINGS, Millis::new(0));
     let id = InstanceId::new("g1");
     let now = Millis::new(500);
-    book.hear(&id, 1, &[], Whose::Member, now);
+    book.receive(&id, 1, &[], ReportScope::Member, now);
     let total = UsageTotal {
         workspace: name.tag(),
         used: 2_000_000,
-        asked: 2_000_000,
-        lately: 10_000,
+        requested: 2_000_000,
+        used_in_window: 10_000,
     };
-    book.hear(&id, 1, &[total], Whose::Member, now + 150);
-    book.pass(&all, 1.0, now + 200);
-    expect_that!(book.rule(&all, 1.0, now + 200), is_empty());
+    book.receive(&id, 1, &[total], ReportScope::Member, now + 150);
+    book.advance(&all, 1.0, now + 200);
+    expect_that!(book.throttles(&all, 1.0, now + 200), is_empty());
 }
 
-/// On the bench: a hub that was frozen read what it had been told in the
-/// meantime at once, and refused nearly all for four seconds.
+/// On the test bench, a hub that was frozen read all reports that had queued up
+/// at once, and rejected nearly all requests for four seconds.
 #[gtest]
-fn what_is_heard_at_once_after_a_pause_is_no_flood() {
+fn reports_queued_during_a_freeze_do_not_count_as_a_flood() {
     let name = WorkspaceId::new("north");
     let limit = limit(100_000.0);
     let all = workspaces(limit);
@@ -542,25 +565,25 @@
     let total = |seconds: u64| UsageTotal {
         workspace: name.tag(),
         used: seconds * 56_000,
-        asked: seconds * 56_000,
-        lately: seconds.min(8) * 56_000,
+        requested: seconds * 56_000,
+        used_in_window: seconds.min(8) * 56_000,
     };
     let now = Millis::new(20_000);
-    book.hear(&id, 1, &[total(12)], Whose::Member, now);
-    book.pass(&all, 1.0, now);
+    book.receive(&id, 1, &[total(12)], ReportScope::Member, now);
+    book.advance(&all, 1.0, now);
     for seconds in 13..20 {
-        book.hear(&id, 1, &[total(seconds)], Whose::Member, now + 20);
+        book.receive(&id, 1, &[total(seconds)], ReportScope::Member, now + 20);
     }
     let now = now + 500;
-    let refused: Vec<f64> = (0..20)
+    let rejected: Vec<f64> = (0..20)
         .map(|step| {
             let now = now + step * 150;
-            book.hear(&id, 1, &[total(20)], Whose::Member, now);
-            book.pass(&all, 1.0, now);
-            let rulings = book.rule(&all, 1.0, now);
-            1.0 - rulings.first().map_or(1.0, |one| one.let_through.get())
+            book.receive(&id, 1, &[total(20)], ReportScope::Member, now);
+            book.advance(&all, 1.0, now);
+            let throttles = book.throttles(&all, 1.0, now);
+            1.0 - throttles.first().map_or(1.0, |one| one.admitted.get())
         })
         .collect();
-    let mean = refused.iter().sum::<f64>() / 20.0;
-    expect_that!(mean, lt(0.25), "{refused:?}");
+    let mean = rejected.iter().sum::<f64>() / 20.0;
+    expect_that!(mean, lt(0.25), "{rejected:?}");
 }
--- a/crates/valehold-core/src/fleet/usage/book.rs
+++ b/crates/valehold-core/src/fleet/usage/book.rs
@@ -1,194 +1,222 @@
-//! The sum of what gateways let through, and what is ruled by it.
+//! The usage totals of all gateways, and the throttles computed from them.
 
 use std::collections::BTreeMap;
 
-use super::{LimitSettings, Part, Ruling, SlidingSum, UsageTotal};
+use super::{Fraction, LimitSettings, SlidingSum, Throttle, UsageTotal};
 use crate::{
     fleet::workspace::{UsageLimit, Workspaces},
     id::{InstanceId, WorkspaceTag},
     time::Millis,
 };
 
-/// After how long of silence what a gateway let through meanwhile counts for
-/// nothing here, in ms: it kept to its own part.
-const SILENT_MS: u64 = 1_300;
+/// How long after its last report a gateway counts as silent, in ms.
+///
+/// A silent gateway keeps to its own share of each limit, so the use that it
+/// reports afterwards is not counted against the remaining allowance.
+const SILENT_AFTER_MS: u64 = 1_300;
 
-/// Over how many ms what is asked for is smoothed, and over how many for a
-/// workspace that is near its limit: a flood must be seen at once there.
-const SMOOTHED_MS: f64 = 600.0;
-const SMOOTHED_NEAR_LIMIT_MS: f64 = 150.0;
+/// Time constant of the smoothed request rate, in ms.
+const SMOOTHING_MS: f64 = 600.0;
 
-/// From which part of its budget on a workspace is near its limit.
+/// Time constant of the request rate of a workspace that is near its limit, in
+/// ms. A flood must show in that rate at once.
+const SMOOTHING_NEAR_LIMIT_MS: f64 = 150.0;
+
+/// The fraction of its budget from which a workspace is near its limit.
 const NEAR_LIMIT: f64 = 0.8;
 
-/// How long it takes from a request at one gateway until all are ruled by it,
-/// at the most where no datagram is lost, in ms: two tellings, and a hub that
-/// is busy.
+/// The maximum time from a request at one gateway until the throttles at all
+/// gateways reflect it, in ms, if no datagram is lost: two reporting intervals,
+/// and the delay of a busy hub.
 const LAG_MS: f64 = 400.0;
 
-/// Within how many ms what is left for peaks is brought to its aim.
+/// The time within which throttles bring the remaining allowance back to its
+/// target, in ms.
 const RESTORE_MS: f64 = 1_000.0;
 
-/// After how long without passing of time a book's keeper was frozen, in ms,
-/// and for how long it hears then what it was told meanwhile.
+/// How long a book must not have advanced for its process to count as frozen,
+/// in ms.
 const FROZEN_MS: u64 = 1_000;
-const CATCHES_UP_MS: u64 = 400;
 
-/// The part of what may be used in a peak that is kept free.
-const KEPT_FREE: f64 = 0.1;
+/// How long after a freeze the reports that queued up meanwhile arrive, in ms.
+const CATCH_UP_MS: u64 = 400;
+
+/// The fraction of the peak allowance that throttles keep in reserve.
+const RESERVED_FRACTION: f64 = 0.1;
 
-/// The part of a budget from which on a workspace is ruled.
-const RULED_FROM: f64 = 0.25;
+/// The fraction of its budget from which a workspace has a throttle even if all
+/// requests are admitted, so that gateways know its use if throttles stop.
+const THROTTLED_FROM: f64 = 0.25;
 
-/// Rulings that let less than this through say so.
-const NEARLY_WHOLE: f64 = 0.998;
+/// A workspace of which less than this fraction is admitted has a throttle.
+const NEARLY_ALL: f64 = 0.998;
 
-/// Who tells totals: one start of one gateway.
+/// The reports of one start of a gateway.
 #[derive(Debug, Clone)]
-struct Teller {
+struct Reporter {
+    /// Differs for each start of the gateway.
     start: u64,
+    /// The last reported total of each workspace.
     totals: BTreeMap<WorkspaceTag, UsageTotal>,
-    heard: Millis,
+    /// When the last report was received.
+    received: Millis,
 }
 
-/// What is known of one workspace.
+/// The use of one workspace.
 #[derive(Debug, Clone)]
 struct Account {
-    /// What may still be used at once; below 0 where too much was.
-    left: f64,
-    /// What is asked for a second, smoothed, and hardly smoothed.
-    asked_rate: f64,
-    asked_lately: f64,
-    /// What was asked for since time passed last.
-    newly_asked: f64,
-    /// What all let through.
+    /// The remaining allowance; below 0 if too much was used.
+    remaining: f64,
+    /// The requested cost per second, smoothed over `SMOOTHING_MS`.
+    requested_rate: f64,
+    /// The requested cost per second, smoothed over `SMOOTHING_NEAR_LIMIT_MS`.
+    recent_rate: f64,
+    /// The requested cost since the account last advanced.
+    newly_requested: f64,
+    /// The admitted cost at all gateways.
     window: SlidingSum,
-    /// What the gateways of this book's group let through, and its totals.
+    /// The admitted cost at the gateways of this book's group.
     group_window: SlidingSum,
+    /// The group's total of admitted cost.
     used: f64,
-    asked: f64,
+    /// The group's total of requested cost.
+    requested: f64,
+    /// When the group's totals last changed.
     changed: Millis,
 }
 
-/// The sum of what gateways let through.
+/// Adds up the usage totals of gateways and computes throttles from the sums.
 #[derive(Debug, Clone)]
 pub struct UsageBook {
     settings: LimitSettings,
-    tellers: BTreeMap<InstanceId, Teller>,
+    reporters: BTreeMap<InstanceId, Reporter>,
     accounts: BTreeMap<WorkspaceTag, Account>,
-    passed: Millis,
-    /// Until when what is told is left out: it is what was told to a keeper
-    /// that was frozen, seconds of use at once.
-    catches_up_until: Millis,
+    /// The time to which the accounts have advanced.
+    advanced: Millis,
+    /// Until when reports are ignored after the process was frozen. They queued
+    /// up meanwhile and would count seconds of use at once.
+    catch_up_until: Millis,
 }
 
-/// Whose totals are told.
+/// The gateways whose use a report states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Whose {
-    /// Those of a gateway of this book's group.
+pub enum ReportScope {
+    /// One gateway of this book's group.
     Member,
-    /// The sums of another group.
+    /// The sums over another group.
     OtherGroup,
 }
 
 impl UsageBook {
-    /// Opens a book.
+    /// Creates an empty book.
     pub fn new(settings: LimitSettings, now: Millis) -> Self {
         Self {
             settings,
-            tellers: BTreeMap::new(),
+            reporters: BTreeMap::new(),
             accounts: BTreeMap::new(),
-            passed: now,
-            catches_up_until: now,
+            advanced: now,
+            catch_up_until: now,
         }
     }
 
-    /// Takes in totals; `start` tells the starts of their teller apart.
+    /// Receives a report of totals. `start` differs for each start of the
+    /// reporter.
     ///
-    /// Of a teller that is new, or was silent, what it let through before
-    /// counts as use of the last window alone: it kept to its own part.
-    pub fn hear(
+    /// Earlier use of a reporter that is new, or was silent, counts only as use
+    /// in the last window: it kept to its own share of each limit.
+    pub fn receive(
         &mut self,
-        teller: &InstanceId,
+        reporter: &InstanceId,
         start: u64,
         totals: &[UsageTotal],
-        whose: Whose,
+        scope: ReportScope,
         now: Millis,
     ) {
-        let is_frozen = now.since(self.passed) >= FROZEN_MS;
-        if is_frozen || now < self.catches_up_until {
+        let is_frozen = now.since(self.advanced) >= FROZEN_MS;
+        if is_frozen || now < self.catch_up_until {
             return;
         }
-        let known = self.tellers.get_mut(teller).filter(|known| {
-            known.start == start && now.since(known.heard) < SILENT_MS
+        let state = self.reporters.get_mut(reporter).filter(|state| {
+            state.start == start && now.since(state.received) < SILENT_AFTER_MS
         });
-        let Some(known) = known else {
+        let Some(state) = state else {
             for total in totals {
-                self.count_lately(*total, whose, now);
+                self.add_in_window(*total, scope, now);
             }
             let totals = totals.iter().map(|one| (one.workspace, *one));
-            let heard = Teller { start, totals: totals.collect(), heard: now };
-            self.tellers.insert(teller.clone(), heard);
+            let state =
+                Reporter { start, totals: totals.collect(), received: now };
+            self.reporters.insert(reporter.clone(), state);
             return;
         };
-        known.heard = now;
-        let mut news = Vec::new();
+        state.received = now;
+        let mut updates = Vec::new();
         for total in totals {
-            let before = known.totals.insert(total.workspace, *total);
-            news.push((*total, before));
+            let before = state.totals.insert(total.workspace, *total);
+            updates.push((*total, before));
         }
-        for (total, before) in news {
-            self.hear_total(total, before, whose, now);
+        for (total, before) in updates {
+            self.receive_total(total, before, scope, now);
         }
     }
 
-    fn hear_total(
+    /// Counts the growth of one total since the report before.
+    fn receive_total(
         &mut self,
         total: UsageTotal,
         before: Option<UsageTotal>,
-        whose: Whose,
+        scope: ReportScope,
         now: Millis,
     ) {
-        // One that was not told of before may have been used long before this
-        // book heard its teller, unless all of its use is in the window.
+        // A workspace that is new in this reporter's totals may have been used
+        // long before this book received them, unless all of its use is in the
+        // window.
         let is_first = before.is_none();
-        if is_first && total.used != total.lately {
-            self.count_lately(total, whose, now);
+        if is_first && total.used != total.used_in_window {
+            self.add_in_window(total, scope, now);
             return;
         }
-        let (used, asked) = before.map_or((0, 0), |one| (one.used, one.asked));
+        let (used, requested) =
+            before.map_or((0, 0), |one| (one.used, one.requested));
         let used = difference(total.used, used);
-        let asked = difference(total.asked, asked);
-        self.count(total.workspace, used, asked, whose, now);
+        let requested = difference(total.requested, requested);
+        self.add(total.workspace, used, requested, scope, now);
     }
 
-    fn count(
+    /// Counts use against the allowance, the windows and the group's totals.
+    fn add(
         &mut self,
         workspace: WorkspaceTag,
         used: f64,
-        asked: f64,
-        whose: Whose,
+        requested: f64,
+        scope: ReportScope,
         now: Millis,
     ) {
         let account = self.account(workspace, now);
-        account.left -= used;
-        account.newly_asked += asked;
+        account.remaining -= used;
+        account.newly_requested += requested;
         account.window.add(used, now);
-        if whose == Whose::Member && (used != 0.0 || asked != 0.0) {
+        if scope == ReportScope::Member && (used != 0.0 || requested != 0.0) {
             account.group_window.add(used, now);
             account.used += used;
-            account.asked += asked;
+            account.requested += requested;
             account.changed = now;
         }
     }
 
+    /// Counts the use in the last window only.
     #[allow(clippy::cast_precision_loss)]
-    fn count_lately(&mut self, total: UsageTotal, whose: Whose, now: Millis) {
-        let lately = total.lately as f64;
+    fn add_in_window(
+        &mut self,
+        total: UsageTotal,
+        scope: ReportScope,
+        now: Millis,
+    ) {
+        let used_in_window = total.used_in_window as f64;
         let account = self.account(total.workspace, now);
-        account.window.add(lately, now);
-        if whose == Whose::Member {
-            account.group_window.add(lately, now);
+        account.window.add(used_in_window, now);
+        if scope == ReportScope::Member {
+            account.group_window.add(used_in_window, now);
         }
     }
 
@@ -199,150 +227,162 @@
     ) -> &mut Account {
         let window_ms = self.settings.window_ms();
         self.accounts.entry(workspace).or_insert_with(|| Account {
-            left: 0.0,
-            asked_rate: 0.0,
-            asked_lately: 0.0,
-            newly_asked: 0.0,
+            remaining: 0.0,
+            requested_rate: 0.0,
+            recent_rate: 0.0,
+            newly_requested: 0.0,
             window: SlidingSum::new(window_ms),
             group_window: SlidingSum::new(window_ms),
             used: 0.0,
-            asked: 0.0,
+            requested: 0.0,
             changed: now,
         })
     }
 
-    /// Tells whether it left out what it was told just now, and so knows too
-    /// little to rule.
-    pub fn catches_up(&self, now: Millis) -> bool {
-        now < self.catches_up_until
+    /// Returns whether reports are being ignored after the process was frozen,
+    /// so that the book knows too little to compute throttles.
+    pub fn is_catching_up(&self, now: Millis) -> bool {
+        now < self.catch_up_until
     }
 
-    /// Lets time pass. `part` is the part of each limit that the gateways
-    /// whose totals are here may use.
-    pub fn pass(&mut self, workspaces: &Workspaces, part: f64, now: Millis) {
-        let passed_ms = now.since(self.passed);
-        if passed_ms == 0 {
+    /// Advances the book to `now`. `share` is the fraction of each limit that the
+    /// gateways which report to this book may use.
+    pub fn advance(
+        &mut self,
+        workspaces: &Workspaces,
+        share: f64,
+        now: Millis,
+    ) {
+        let elapsed_ms = now.since(self.advanced);
+        if elapsed_ms == 0 {
             return;
         }
-        self.passed = now;
-        if passed_ms >= FROZEN_MS {
-            self.catches_up_until = now + CATCHES_UP_MS;
-            self.tellers.clear();
+        self.advanced = now;
+        if elapsed_ms >= FROZEN_MS {
+            self.catch_up_until = now + CATCH_UP_MS;
+            self.reporters.clear();
         }
-        let young = |one: &Teller| now.since(one.heard) < SILENT_MS;
-        self.tellers.retain(|_, teller| young(teller));
+        let is_live =
+            |one: &Reporter| now.since(one.received) < SILENT_AFTER_MS;
+        self.reporters.retain(|_, reporter| is_live(reporter));
         let limits = limits_by_tag(workspaces);
         self.accounts.retain(|tag, _| limits.contains_key(tag));
         for (tag, account) in &mut self.accounts {
             let Some(limit) = limits.get(tag) else { continue };
             #[allow(clippy::cast_precision_loss)]
-            account.pass(passed_ms as f64, limit, part, &self.settings);
+            account.advance(elapsed_ms as f64, limit, share, &self.settings);
         }
     }
 
-    /// Returns what is ruled.
-    pub fn rule(
+    /// Returns the throttles of the workspaces that need one. `share` is the
+    /// same fraction as for [`Self::advance`].
+    pub fn throttles(
         &mut self,
         workspaces: &Workspaces,
-        part: f64,
+        share: f64,
         now: Millis,
-    ) -> Vec<Ruling> {
+    ) -> Vec<Throttle> {
         let limits = limits_by_tag(workspaces);
-        let mut rulings = Vec::new();
+        let mut throttles = Vec::new();
         for (tag, account) in &mut self.accounts {
             let Some(limit) = limits.get(tag) else { continue };
             let sum = account.window.sum(now);
-            let through =
-                account.let_through(sum, limit, part, &self.settings);
-            let budget = self.settings.budget(limit) * part;
+            let admitted =
+                account.admitted_fraction(sum, limit, share, &self.settings);
+            let budget = self.settings.budget(limit) * share;
             let used = sum / budget.max(f64::EPSILON);
-            if through < NEARLY_WHOLE || used >= RULED_FROM {
-                rulings.push(Ruling {
+            if admitted < NEARLY_ALL || used >= THROTTLED_FROM {
+                throttles.push(Throttle {
                     workspace: *tag,
-                    let_through: Part::new(through),
-                    used: Part::new(used),
+                    admitted: Fraction::new(admitted),
+                    used: Fraction::new(used),
                 });
             }
         }
-        rulings
+        throttles
     }
 
-    /// Returns the totals of this book's own group that changed within some
-    /// ms.
+    /// Returns the totals of this book's own group that changed within the last
+    /// `within_ms`.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub fn group_news(
+    pub fn changed_group_totals(
         &mut self,
         within_ms: u64,
         now: Millis,
     ) -> Vec<UsageTotal> {
         let changed = self.accounts.iter_mut().filter(|(_, account)| {
-            now.since(account.changed) < within_ms && account.asked > 0.0
+            now.since(account.changed) < within_ms && account.requested > 0.0
         });
         let totals = changed.map(|(workspace, account)| UsageTotal {
             workspace: *workspace,
             used: account.used.max(0.0) as u64,
-            asked: account.asked as u64,
-            lately: account.group_window.sum(now) as u64,
+            requested: account.requested as u64,
+            used_in_window: account.group_window.sum(now) as u64,
         });
         totals.collect()
     }
 }
 
 impl Account {
-    fn pass(
+    /// Adds the allowance of the elapsed time, and updates the request rates.
+    fn advance(
         &mut self,
-        passed_ms: f64,
+        elapsed_ms: f64,
         limit: &UsageLimit,
-        part: f64,
+        share: f64,
         settings: &LimitSettings,
     ) {
-        let passed_s = passed_ms / 1_000.0;
-        let most = settings.peak(limit) * part;
-        self.left += settings.even_rate(limit) * part * passed_s;
-        self.left = self.left.min(most);
-        let rate = self.newly_asked.max(0.0) / passed_s;
+        let elapsed_s = elapsed_ms / 1_000.0;
+        let max = settings.peak_allowance(limit) * share;
+        self.remaining += settings.even_rate(limit) * share * elapsed_s;
+        self.remaining = self.remaining.min(max);
+        let rate = self.newly_requested.max(0.0) / elapsed_s;
         let smooth = |before: f64, over_ms: f64| {
-            let kept = (-passed_ms / over_ms).exp();
+            let kept = (-elapsed_ms / over_ms).exp();
             before * kept + rate * (1.0 - kept)
         };
-        self.asked_rate = smooth(self.asked_rate, SMOOTHED_MS);
-        self.asked_lately = smooth(self.asked_lately, SMOOTHED_NEAR_LIMIT_MS);
-        self.newly_asked = 0.0;
+        self.requested_rate = smooth(self.requested_rate, SMOOTHING_MS);
+        self.recent_rate = smooth(self.recent_rate, SMOOTHING_NEAR_LIMIT_MS);
+        self.newly_requested = 0.0;
     }
 
-    /// Returns the part of requests to let through: all while what is left
-    /// outlasts what is asked for and not known yet, else so that what is
-    /// let through is what comes in, and what is left comes to its aim. `sum`
-    /// is what was used in the last window.
-    fn let_through(
+    /// Returns the fraction of requests to admit. `sum` is the use in the last
+    /// window.
+    ///
+    /// All requests are admitted while the remaining allowance covers the use
+    /// that is not reported yet. Otherwise the admitted cost matches the even
+    /// rate, corrected so that the remaining allowance returns to its target.
+    fn admitted_fraction(
         &self,
         sum: f64,
         limit: &UsageLimit,
-        part: f64,
+        share: f64,
         settings: &LimitSettings,
     ) -> f64 {
-        if sum >= settings.stop(limit) * part {
+        if sum >= settings.stop_threshold(limit) * share {
             return 0.0;
         }
-        let in_window = settings.most_with_peak(limit) * part - sum;
-        let left = self.left.min(in_window);
-        let aim = settings.peak(limit) * part * KEPT_FREE;
-        let is_near = sum >= settings.budget(limit) * part * NEAR_LIMIT;
-        let asked_rate = match is_near {
-            true => self.asked_rate.max(self.asked_lately),
-            false => self.asked_rate,
+        let remaining_in_window = settings.max_with_peak(limit) * share - sum;
+        let remaining = self.remaining.min(remaining_in_window);
+        let target =
+            settings.peak_allowance(limit) * share * RESERVED_FRACTION;
+        let is_near_limit = sum >= settings.budget(limit) * share * NEAR_LIMIT;
+        let requested_rate = match is_near_limit {
+            true => self.requested_rate.max(self.recent_rate),
+            false => self.requested_rate,
         };
-        let unknown = asked_rate * LAG_MS / 1_000.0;
-        if left >= unknown + aim {
+        let unreported = requested_rate * LAG_MS / 1_000.0;
+        if remaining >= unreported + target {
             return 1.0;
         }
-        let comes_in = settings.even_rate(limit) * part;
-        let spare = (left - aim) / (RESTORE_MS / 1_000.0);
-        let through = (comes_in + spare) / asked_rate.max(f64::EPSILON);
-        through.clamp(0.0, 1.0)
+        let even_rate = settings.even_rate(limit) * share;
+        let spare = (remaining - target) / (RESTORE_MS / 1_000.0);
+        let admitted = (even_rate + spare) / requested_rate.max(f64::EPSILON);
+        admitted.clamp(0.0, 1.0)
     }
 }
 
+/// Returns the limit of each workspace that has one.
 fn limits_by_tag(
     workspaces: &Workspaces,
 ) -> BTreeMap<WorkspaceTag, UsageLimit> {
@@ -353,8 +393,8 @@
     limited.collect()
 }
 
-/// Returns by how much a total has grown; below 0 if it fell, where requests
-/// that were counted did not run.
+/// Returns the growth of a total. It is below 0 if requests that were counted
+/// did not run.
 #[allow(clippy::cast_precision_loss)]
 fn difference(after: u64, before: u64) -> f64 {
     match after >= before {
--- a/crates/valehold-core/src/fleet/usage/meter.rs
+++ b/crates/valehold-core/src/fleet/usage/meter.rs
@@ -1,130 +1,143 @@
-//! What one gateway lets through of workspaces' requests, and what it counts.
+//! Admission of requests to the usage limits of workspaces at one gateway.
 
 use std::collections::BTreeMap;
 
-use super::{LimitSettings, Part, Ruling, Rulings, SlidingSum, UsageTotal};
+use super::{
+    Fraction, LimitSettings, SlidingSum, Throttle, Throttles, UsageTotal,
+};
 use crate::{
     fleet::workspace::UsageLimit,
     id::{WorkspaceId, WorkspaceTag},
     time::Millis,
 };
 
-/// For how long rulings are kept to, in ms. The foremost hub rules each 150
-/// ms. A gateway that is cut off lets through by old ones for so long whatever
-/// is asked of it: with 700 ms, floods that began with a cut went over the
-/// limit in one of some hundred cases of a property test.
-const RULINGS_KEEP_MS: u64 = 400;
+/// How long throttles are valid, in ms. The leading hub sends new ones every
+/// 150 ms. A gateway that is cut off admits requests by old throttles for this
+/// long, however many arrive: with 700 ms, floods that began with a network
+/// partition exceeded the limit in one of some hundred cases of a property
+/// test.
+const THROTTLES_VALID_MS: u64 = 400;
 
-/// The part of the gateways for which it was ruled just now of which another
-/// one has to hear to be kept to instead.
-const LEAST_PRESENT_PART: f64 = 0.8;
+/// Throttles replace recent ones only if they cover at least this fraction of
+/// the gateways that the recent ones cover.
+const MIN_PRESENT_FRACTION: f64 = 0.8;
 
-/// After how long without rulings a gateway was alone, in ms.
-const ALONE_AFTER_MS: u64 = 1_000;
+/// How long after its last throttles a gateway counts as isolated, in ms.
+const ISOLATED_AFTER_MS: u64 = 1_000;
 
-/// Within how many ms after that those that rule have heard what it let
-/// through meanwhile.
-const HEARD_WITHIN_MS: u64 = 450;
+/// The time after isolation within which hubs have received the gateway's use
+/// during isolation, in ms.
+const REPORTED_WITHIN_MS: u64 = 450;
 
-/// For how long a total that changed is told again, in ms: the datagrams that
-/// carry it may be lost.
-const TELL_FOR_MS: u64 = 1_200;
+/// How long a changed total is repeated in reports, in ms, since the datagrams
+/// that carry it may be lost.
+const REPORT_FOR_MS: u64 = 1_200;
 
-/// The least time after which a caller is asked to come back, in ms.
-const LEAST_WAIT_MS: u64 = 500;
+/// The minimum time after which a caller is told to retry, in ms.
+const MIN_RETRY_MS: u64 = 500;
 
-/// In how many ms a caller comes back while one of all requests in so many is
-/// let through: as many times this as requests are asked for each one.
-const WAIT_FOR_ONE_MS: f64 = 1_000.0;
+/// The time after which a caller is told to retry, in ms, for each request that
+/// arrives per admitted one: if one of ten is admitted, ten times this.
+const RETRY_PER_REQUEST_MS: f64 = 1_000.0;
 
-/// A workspace's limit is used up.
+/// The error of a request whose workspace has used up its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitReached {
-    /// In how many ms there will be room for a request, as far as it can be
-    /// told.
-    pub come_back_ms: u64,
+    /// The estimated time until a request can be admitted, in ms.
+    pub retry_after_ms: u64,
 }
 
-/// What one gateway lets through of workspaces' requests.
+/// Admits requests to the limits of workspaces, and counts their use, at one
+/// gateway.
 #[derive(Debug, Clone)]
 pub struct UsageMeter {
     settings: LimitSettings,
-    own: BTreeMap<WorkspaceTag, OwnUsage>,
-    rulings: BTreeMap<WorkspaceTag, Ruling>,
-    ruled: Option<Millis>,
-    /// For how many gateways it was ruled.
-    ruled_for: u32,
-    /// Since when rulings have come again after none had for a while, or for
-    /// more gateways than before.
-    ruled_again: Millis,
-    /// The part of each limit that this gateway may use by itself.
-    own_part: f64,
+    usage: BTreeMap<WorkspaceTag, WorkspaceUsage>,
+    throttles: BTreeMap<WorkspaceTag, Throttle>,
+    /// When the throttles were received.
+    received: Option<Millis>,
+    /// The number of gateways that the throttles cover.
+    covered: u32,
+    /// When throttles arrived again after isolation, or began to cover more
+    /// gateways than before.
+    resumed: Millis,
+    /// The fraction of each limit that this gateway may use without throttles.
+    own_share: f64,
 }
 
-/// What this gateway let through of one workspace's requests.
+/// The use of one workspace at this gateway.
 #[derive(Debug, Clone)]
-struct OwnUsage {
+struct WorkspaceUsage {
+    /// The cost of the admitted requests.
     used: f64,
-    asked: f64,
+    /// The cost of all requests, admitted or not.
+    requested: f64,
+    /// The cost of the requests admitted in the last window.
     window: SlidingSum,
+    /// When the use last changed.
     changed: Millis,
-    /// Which part of what the next request counts as has to be left for it
-    /// while no rulings come. A request is let through whole or not at all; of
-    /// many gateways with thresholds of their own, as many let one through as
-    /// their parts together allow.
+    /// The fraction of the next request's cost that must remain for it to be
+    /// admitted without throttles.
+    ///
+    /// A request is admitted as a whole or not at all, and a gateway's share of
+    /// a limit may be less than its cost. With random thresholds, as many of
+    /// all gateways admit a request as their shares together allow.
     threshold: f64,
 }
 
 impl UsageMeter {
-    /// Makes the meter of a gateway that has let nothing through.
+    /// Creates the meter of a gateway that has not admitted any request.
     pub fn new(settings: LimitSettings) -> Self {
-        let own_part = 1.0 / f64::from(settings.instances.max(1));
+        let own_share = 1.0 / f64::from(settings.instances.max(1));
         Self {
             settings,
-            own: BTreeMap::new(),
-            rulings: BTreeMap::new(),
-            ruled: None,
-            ruled_for: 0,
-            ruled_again: Millis::default(),
-            own_part,
+            usage: BTreeMap::new(),
+            throttles: BTreeMap::new(),
+            received: None,
+            covered: 0,
+            resumed: Millis::default(),
+            own_share,
         }
     }
 
-    /// Takes in which part of each limit this gateway may use while no rulings
-    /// come.
-    pub fn set_own_part(&mut self, own_part: f64) {
-        self.own_part = own_part;
+    /// Sets the fraction of each limit that this gateway may use without
+    /// throttles.
+    pub fn set_own_share(&mut self, own_share: f64) {
+        self.own_share = own_share;
     }
 
-    /// Takes in rulings, but for those of one that hears far fewer gateways
-    /// than another one that ruled just now: one that was paused or cut off
-    /// for a while rules for the few that it hears again.
-    pub fn rule(&mut self, rulings: &Rulings, now: Millis) {
-        let is_lesser = f64::from(rulings.present)
-            < f64::from(self.ruled_for) * LEAST_PRESENT_PART;
-        let is_recent = |at| now.since(at) < ALONE_AFTER_MS;
-        if is_lesser && self.ruled.is_some_and(is_recent) {
+    /// Applies throttles, unless recent throttles of another hub cover far more
+    /// gateways.
+    ///
+    /// A hub that was paused or cut off for a while computes its first throttles
+    /// from the reports of the few gateways that have reached it again.
+    pub fn apply(&mut self, throttles: &Throttles, now: Millis) {
+        let covers_fewer = f64::from(throttles.present)
+            < f64::from(self.covered) * MIN_PRESENT_FRACTION;
+        let is_recent = |at| now.since(at) < ISOLATED_AFTER_MS;
+        if covers_fewer && self.received.is_some_and(is_recent) {
             return;
         }
-        let by_workspace = rulings.workspaces.iter();
-        self.rulings = by_workspace.map(|one| (one.workspace, *one)).collect();
-        let is_late = |at| now.since(at) >= ALONE_AFTER_MS;
-        let has_grown = f64::from(self.ruled_for)
-            < f64::from(rulings.present) * LEAST_PRESENT_PART;
-        if has_grown || self.ruled.is_none_or(is_late) {
-            self.ruled_again = now;
+        let by_workspace = throttles.workspaces.iter();
+        self.throttles =
+            by_workspace.map(|one| (one.workspace, *one)).collect();
+        let is_late = |at| now.since(at) >= ISOLATED_AFTER_MS;
+        let has_grown = f64::from(self.covered)
+            < f64::from(throttles.present) * MIN_PRESENT_FRACTION;
+        if has_grown || self.received.is_none_or(is_late) {
+            self.resumed = now;
         }
-        self.ruled_for = rulings.present;
-        self.ruled = Some(now);
+        self.covered = throttles.present;
+        self.received = Some(now);
     }
 
-    /// Lets a request through, or not. `cost` is what it counts as, `draw` a
-    /// number from 0 to 1 that the caller drew.
+    /// Admits or rejects a request that costs `cost` of the limit's unit. `draw`
+    /// is a random number from 0 to 1.
     ///
     /// # Errors
     ///
-    /// If the workspace's limit is used up.
-    pub fn let_through(
+    /// Returns an error if the workspace's limit is used up.
+    pub fn admit(
         &mut self,
         workspace: &WorkspaceId,
         limit: &UsageLimit,
@@ -133,80 +146,83 @@
         now: Millis,
     ) -> Result<(), LimitReached> {
         let tag = workspace.tag();
-        let is_through = self.has_room(tag, limit, cost, draw, now);
-        // Of draws that were let through by a part, each is as likely again
-        // once divided by it.
-        let part = match self.is_ruled(now) {
-            true => self.ruled_part(tag),
+        let is_admitted = self.has_room(tag, limit, cost, draw, now);
+        // An admitted draw is uniform between 0 and the admitted fraction.
+        // Divided by that fraction, it is uniform between 0 and 1 again.
+        let fraction = match self.has_throttles(now) {
+            true => self.admitted_fraction(tag),
             false => 1.0,
         };
-        let own = self.usage(tag, draw);
-        own.asked += cost;
-        own.changed = now;
-        if is_through {
-            own.used += cost;
-            own.window.add(cost, now);
-            own.threshold = draw / part;
+        let usage = self.usage_mut(tag, draw);
+        usage.requested += cost;
+        usage.changed = now;
+        if is_admitted {
+            usage.used += cost;
+            usage.window.add(cost, now);
+            usage.threshold = draw / fraction;
             return Ok(());
         }
         let window_ms = self.settings.window_ms();
-        let wait_ms = match self.is_ruled(now) {
-            true => ruled_wait_ms(self.ruled_part(tag), window_ms),
+        let wait_ms = match self.has_throttles(now) {
+            true => throttled_wait_ms(self.admitted_fraction(tag), window_ms),
             false => self.own_wait_ms(tag, limit, cost, now),
         };
-        let come_back_ms = wait_ms.max(LEAST_WAIT_MS);
-        Err(LimitReached { come_back_ms })
+        let retry_after_ms = wait_ms.max(MIN_RETRY_MS);
+        Err(LimitReached { retry_after_ms })
     }
 
-    /// Gives back what a request was counted as that did not run.
-    pub fn give_back(
-        &mut self,
-        workspace: &WorkspaceId,
-        cost: f64,
-        now: Millis,
-    ) {
-        let Some(own) = self.own.get_mut(&workspace.tag()) else { return };
-        own.used -= cost;
-        own.asked -= cost;
-        own.window.add(-cost, now);
-        own.changed = now;
+    /// Subtracts the cost of an admitted request that did not run.
+    pub fn refund(&mut self, workspace: &WorkspaceId, cost: f64, now: Millis) {
+        let Some(usage) = self.usage.get_mut(&workspace.tag()) else { return };
+        usage.used -= cost;
+        usage.requested -= cost;
+        usage.window.add(-cost, now);
+        usage.changed = now;
     }
 
-    /// Returns the totals that changed lately.
+    /// Returns the totals that changed recently, to report them.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub fn news(&mut self, now: Millis) -> Vec<UsageTotal> {
-        let is_new = |own: &OwnUsage| now.since(own.changed) < TELL_FOR_MS;
-        let changed = self.own.iter_mut().filter(|(_, own)| is_new(own));
-        let totals = changed.map(|(workspace, own)| UsageTotal {
+    pub fn changed_totals(&mut self, now: Millis) -> Vec<UsageTotal> {
+        let is_recent =
+            |usage: &WorkspaceUsage| now.since(usage.changed) < REPORT_FOR_MS;
+        let changed =
+            self.usage.iter_mut().filter(|(_, usage)| is_recent(usage));
+        let totals = changed.map(|(workspace, usage)| UsageTotal {
             workspace: *workspace,
-            used: own.used.max(0.0) as u64,
-            asked: own.asked.max(0.0) as u64,
-            lately: own.window.sum(now) as u64,
+            used: usage.used.max(0.0) as u64,
+            requested: usage.requested.max(0.0) as u64,
+            used_in_window: usage.window.sum(now) as u64,
         });
         totals.collect()
     }
 
-    /// Returns what is kept of a workspace; `draw` is a number from 0 to 1
-    /// for one of which nothing is kept yet.
-    fn usage(&mut self, tag: WorkspaceTag, draw: f64) -> &mut OwnUsage {
+    /// Returns the use of a workspace. If there is none yet, `draw` becomes the
+    /// first threshold.
+    fn usage_mut(
+        &mut self,
+        tag: WorkspaceTag,
+        draw: f64,
+    ) -> &mut WorkspaceUsage {
         let window_ms = self.settings.window_ms();
-        self.own.entry(tag).or_insert_with(|| OwnUsage {
+        self.usage.entry(tag).or_insert_with(|| WorkspaceUsage {
             used: 0.0,
-            asked: 0.0,
+            requested: 0.0,
             window: SlidingSum::new(window_ms),
             changed: Millis::default(),
             threshold: draw,
         })
     }
 
-    fn is_ruled(&self, now: Millis) -> bool {
-        self.ruled.is_some_and(|at| now.since(at) < RULINGS_KEEP_MS)
+    /// Returns whether there are valid throttles.
+    fn has_throttles(&self, now: Millis) -> bool {
+        self.received.is_some_and(|at| now.since(at) < THROTTLES_VALID_MS)
     }
 
-    /// Tells whether there is room for a request.
+    /// Returns whether the limit has room for a request.
     ///
-    /// Whoever rules has to hear first what gateways let through that were
-    /// alone, or ruled apart: until then they keep to their own parts as well.
+    /// After isolation, or after throttles that covered fewer gateways, the
+    /// hubs have not yet received all use of that time. Until they have, the
+    /// gateway's own share of the limit applies in addition to throttles.
     fn has_room(
         &mut self,
         tag: WorkspaceTag,
@@ -215,47 +231,52 @@
         draw: f64,
         now: Millis,
     ) -> bool {
-        let is_new = now.since(self.ruled_again) < HEARD_WITHIN_MS;
-        let is_ruled = self.is_ruled(now);
-        let by_ruling = !is_ruled || draw < self.ruled_part(tag);
-        let keeps_to_own = !is_ruled || is_new;
-        let by_own = !keeps_to_own || {
-            let threshold = self.usage(tag, draw).threshold;
-            self.own_left(tag, limit, now) >= cost * threshold
+        let is_recent = now.since(self.resumed) < REPORTED_WITHIN_MS;
+        let has_throttles = self.has_throttles(now);
+        let by_throttle = !has_throttles || draw < self.admitted_fraction(tag);
+        let applies_own_share = !has_throttles || is_recent;
+        let by_own_share = !applies_own_share || {
+            let threshold = self.usage_mut(tag, draw).threshold;
+            self.own_remaining(tag, limit, now) >= cost * threshold
         };
-        by_ruling && by_own
+        by_throttle && by_own_share
     }
 
-    fn ruled_part(&self, tag: WorkspaceTag) -> f64 {
-        let ruling = self.rulings.get(&tag);
-        ruling.map_or(Part::WHOLE, |one| one.let_through).get()
+    /// Returns the fraction of a workspace's requests that throttles admit.
+    fn admitted_fraction(&self, tag: WorkspaceTag) -> f64 {
+        let throttle = self.throttles.get(&tag);
+        throttle.map_or(Fraction::ONE, |one| one.admitted).get()
     }
 
-    /// Returns what is left in this window of this gateway's part.
-    fn own_left(
+    /// Returns the rest of this gateway's own share in the window.
+    fn own_remaining(
         &mut self,
         tag: WorkspaceTag,
         limit: &UsageLimit,
         now: Millis,
     ) -> f64 {
-        let budget = self.settings.budget(limit) * self.own_part;
-        let by_all = self.used_by_all(tag, now) * budget;
-        let window = self.own.get_mut(&tag).map(|own| &mut own.window);
-        let by_own = window.map_or(0.0, |window| window.sum(now));
-        budget - by_own.max(by_all)
+        let budget = self.settings.budget(limit) * self.own_share;
+        let used_by_all = self.fraction_used_by_all(tag, now) * budget;
+        let window = self.usage.get_mut(&tag).map(|usage| &mut usage.window);
+        let used_here = window.map_or(0.0, |window| window.sum(now));
+        budget - used_here.max(used_by_all)
     }
 
-    /// Returns the part of its budget that a workspace had used when rulings
-    /// stopped. Nothing tells when in the window that was, so all of it counts
-    /// for a whole window more.
-    fn used_by_all(&self, tag: WorkspaceTag, now: Millis) -> f64 {
+    /// Returns the fraction of its budget that a workspace had used at all
+    /// gateways when the last throttles were received.
+    ///
+    /// When in the window the use took place is unknown, so all of it counts
+    /// for one more window.
+    fn fraction_used_by_all(&self, tag: WorkspaceTag, now: Millis) -> f64 {
         let window_ms = self.settings.window_ms();
         let is_recent = |at| now.since(at) < window_ms;
-        let ruling = self.rulings.get(&tag);
-        let ruling = ruling.filter(|_| self.ruled.is_some_and(is_recent));
-        ruling.map_or(0.0, |one| one.used.get())
+        let throttle = self.throttles.get(&tag);
+        let throttle =
+            throttle.filter(|_| self.received.is_some_and(is_recent));
+        throttle.map_or(0.0, |one| one.used.get())
     }
 
+    /// Returns the time until the own share has room for a request, in ms.
     fn own_wait_ms(
         &mut self,
         tag: WorkspaceTag,
@@ -263,16 +284,19 @@
         cost: f64,
         now: Millis,
     ) -> u64 {
-        let missing = cost - self.own_left(tag, limit, now);
+        let missing = cost - self.own_remaining(tag, limit, now);
         let window_ms = self.settings.window_ms();
-        let own = self.own.get_mut(&tag);
-        own.map_or(window_ms, |own| own.window.falls_by(missing, now))
+        let usage = self.usage.get_mut(&tag);
+        usage.map_or(window_ms, |usage| {
+            usage.window.ms_until_freed(missing, now)
+        })
     }
 }
 
-/// Returns in how many ms to come back while such a part is let through.
+/// Returns the time after which to retry while a fraction of requests is
+/// admitted, in ms.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn ruled_wait_ms(part: f64, longest_ms: u64) -> u64 {
-    let wait_ms = WAIT_FOR_ONE_MS / part.max(f64::EPSILON);
-    (wait_ms as u64).min(longest_ms)
+fn throttled_wait_ms(fraction: f64, max_ms: u64) -> u64 {
+    let wait_ms = RETRY_PER_REQUEST_MS / fraction.max(f64::EPSILON);
+    (wait_ms as u64).min(max_ms)
 }
--- a/crates/valehold-core/src/fleet/usage/presence.rs
+++ b/crates/valehold-core/src/fleet/usage/presence.rs
@@ -1,58 +1,64 @@
-//! Which part of a limit the gateways that hear one another may use.
+//! The share of each limit that gateways which reach one another may use.
 //!
-//! A gateway that falls silent may be gone, or only cut off and still serving
-//! callers. So those that hear one another use the part that they are of all
-//! that were there lately: parts of groups that cannot hear each other sum to
-//! one at the most.
+//! A silent gateway may have stopped, or may be cut off and still serve
+//! callers. So the gateways on one side of a network partition use a share of
+//! each limit in proportion to their number, out of all gateways that were
+//! present recently. The shares of groups that cannot reach one another sum to
+//! at most one.
 
 use std::collections::BTreeMap;
 
 use crate::time::Millis;
 
-/// After how long a gateway that most others do not hear is taken for gone,
-/// in ms.
-const FORGOTTEN_AFTER_MS: u64 = 60_000;
+/// How long after it was last present a gateway counts as gone, in ms, for a
+/// majority of gateways.
+const GONE_AFTER_MS: u64 = 60_000;
 
-/// For how long gateways that hear no more than half of all use a part, in ms.
-/// They stop well before the others take them for gone.
-const FEW_USE_FOR_MS: u64 = 45_000;
+/// How long gateways that reach at most half of all may use their share, in ms.
+/// They stop well before the majority counts them as gone and divides their
+/// share among itself.
+const MINORITY_ACTIVE_MS: u64 = 45_000;
 
-/// One of how many of all have to be present for one to rule for all.
-const FEWEST_RULED_PART: usize = 8;
+/// One in this many of all gateways must be present for a hub to throttle.
+const MIN_PRESENT_DIVISOR: usize = 8;
 
-/// Who is there, and who was lately. Gateways are told apart by `K`.
+/// The gateways that are present now, and those that were present recently.
+///
+/// `K` identifies a gateway.
 #[derive(Debug, Clone)]
 pub struct Presence<K> {
-    /// Who was there lately, and when last.
+    /// When each recent gateway was last present.
     seen: BTreeMap<K, Millis>,
+    /// The number of gateways that are present now.
     present: usize,
-    /// How many others say that there were lately.
-    told: usize,
-    /// Since when no more than half are present.
-    few_since: Option<Millis>,
+    /// The number of recent gateways that others report.
+    reported: usize,
+    /// Since when at most half of all gateways are present.
+    minority_since: Option<Millis>,
 }
 
 impl<K: Ord> Presence<K> {
-    /// Makes the presence of a gateway that has heard of nobody, among at
-    /// least so many.
-    pub fn new(among: usize) -> Self {
+    /// Creates the presence of a gateway that knows no other gateway, among at
+    /// least `count` gateways.
+    pub fn new(count: usize) -> Self {
         Self {
             seen: BTreeMap::new(),
             present: 1,
-            told: among,
-            few_since: None,
+            reported: count,
+            minority_since: None,
         }
     }
 
-    /// Takes in who is there now, this gateway among them, and how many the
-    /// others say that there were lately.
+    /// Updates the presence of all gateways.
     ///
-    /// Those that said that they leave are not among them.
+    /// `present` are the gateways that are present now, including this one, and
+    /// `left` those that announced that they leave, which are no longer
+    /// counted. `reported` is the number of recent gateways that others report.
     pub fn update(
         &mut self,
         present: impl IntoIterator<Item = K>,
         left: impl IntoIterator<Item = K>,
-        told: usize,
+        reported: usize,
         now: Millis,
     ) {
         self.present = 0;
@@ -63,62 +69,68 @@
         for gateway in left {
             self.seen.remove(&gateway);
         }
-        self.told = told;
-        let is_few = self.among() > 1 && self.present * 2 <= self.among();
-        self.few_since = is_few.then(|| self.few_since.unwrap_or(now));
-        if !is_few {
-            let young = |at: Millis| now.since(at) < FORGOTTEN_AFTER_MS;
-            self.seen.retain(|_, at| young(*at));
+        self.reported = reported;
+        let is_minority = self.gateway_count() > 1
+            && self.present * 2 <= self.gateway_count();
+        self.minority_since =
+            is_minority.then(|| self.minority_since.unwrap_or(now));
+        if !is_minority {
+            let is_recent = |at: Millis| now.since(at) < GONE_AFTER_MS;
+            self.seen.retain(|_, at| is_recent(*at));
         }
     }
 
-    /// Tells whether more than half of those that were there lately are.
-    pub fn are_most(&self) -> bool {
-        self.few_since.is_none()
+    /// Returns whether more than half of the recent gateways are present.
+    pub fn is_majority(&self) -> bool {
+        self.minority_since.is_none()
     }
 
-    /// Returns how many gateways are there now.
+    /// Returns the number of gateways that are present now.
     pub fn present(&self) -> usize {
         self.present
     }
 
-    /// Returns how many gateways this one knows to have been there lately,
-    /// for others to hear.
+    /// Returns the number of gateways that this one saw recently, to report it
+    /// to others.
     pub fn seen(&self) -> usize {
         self.seen.len()
     }
 
-    /// Returns among how many gateways limits are divided.
-    pub fn among(&self) -> usize {
-        self.seen.len().max(self.told).max(1)
+    /// Returns the number of gateways among which limits are divided.
+    pub fn gateway_count(&self) -> usize {
+        self.seen.len().max(self.reported).max(1)
     }
 
-    /// Tells whether so many are present that one of them rules for all.
+    /// Returns whether enough gateways are present for a hub to throttle them.
     ///
-    /// Where they are few, their part of a limit may be less than a single
-    /// request counts as. A ruling would then refuse all for long after one;
-    /// each goes by its own part instead, which lets a request through by
-    /// chance.
-    pub fn may_rule(&self) -> bool {
-        self.present * FEWEST_RULED_PART >= self.among()
+    /// The share of a few gateways may be less than the cost of a single
+    /// request. Throttles would then reject all requests for a long time after
+    /// one. Instead, each gateway applies its own share, which admits requests
+    /// by chance.
+    pub fn may_throttle(&self) -> bool {
+        self.present * MIN_PRESENT_DIVISOR >= self.gateway_count()
     }
 
-    /// Returns the part of each limit that those that are present may use.
-    pub fn part(&self, now: Millis) -> f64 {
-        self.part_of(self.present, now)
+    /// Returns the fraction of each limit that the present gateways may use
+    /// together.
+    pub fn share(&self, now: Millis) -> f64 {
+        self.share_of(self.present, now)
     }
 
-    /// Returns the part that this gateway may use by itself.
-    pub fn own_part(&self, now: Millis) -> f64 {
-        self.part_of(1, now)
+    /// Returns the fraction of each limit that this gateway may use without
+    /// throttles.
+    pub fn own_share(&self, now: Millis) -> f64 {
+        self.share_of(1, now)
     }
 
+    /// Returns the fraction for a number of gateways; 0 once a minority has to
+    /// stop.
     #[allow(clippy::cast_precision_loss)]
-    fn part_of(&self, gateways: usize, now: Millis) -> f64 {
-        let is_over = |since| now.since(since) >= FEW_USE_FOR_MS;
-        match self.few_since {
+    fn share_of(&self, gateways: usize, now: Millis) -> f64 {
+        let is_over = |since| now.since(since) >= MINORITY_ACTIVE_MS;
+        match self.minority_since {
             Some(since) if is_over(since) => 0.0,
-            _ => (gateways as f64 / self.among() as f64).min(1.0),
+            _ => (gateways as f64 / self.gateway_count() as f64).min(1.0),
         }
     }
 }
--- a/crates/valehold-gateway/src/control/limits.rs
+++ b/crates/valehold-gateway/src/control/limits.rs
@@ -9,7 +9,8 @@
     Millis,
     fleet::{
         usage::{
-            LimitSettings, Presence, Rulings, UsageBook, UsageTotal, Whose,
+            LimitSettings, Presence, ReportScope, Throttles, UsageBook,
+            UsageTotal,
         },
         workspace::Workspaces,
     },
@@ -60,17 +61,17 @@
 
     /// Tells whether this gateway hears most of those that were there lately.
     pub(super) fn hears_most(&self) -> bool {
-        self.presence.are_most()
+        self.presence.is_majority()
     }
 
-    fn rule(&mut self, workspaces: &Workspaces, now: Millis) -> Rulings {
-        let part = self.presence.part(now);
-        self.book.pass(workspaces, part, now);
-        Rulings {
+    fn rule(&mut self, workspaces: &Workspaces, now: Millis) -> Throttles {
+        let part = self.presence.share(now);
+        self.book.advance(workspaces, part, now);
+        Throttles {
             seen: self.seen(),
             present: u32::try_from(self.presence.present())
                 .unwrap_or(u32::MAX),
-            workspaces: self.book.rule(workspaces, part, now),
+            workspaces: self.book.throttles(workspaces, part, now),
         }
     }
 }
@@ -87,7 +88,7 @@
         let left = self.roster.leaving();
         let presence = &mut self.limits.presence;
         presence.update(present, left, told, now);
-        self.shared.usage().set_own_part(presence.own_part(now));
+        self.shared.usage().set_own_share(presence.own_share(now));
     }
 
     /// Tells whether it started long enough ago to have heard of the others.
@@ -97,7 +98,7 @@
 
     /// Returns what this gateway let through, where it changed lately.
     pub(super) fn usage_news(&self, now: Millis) -> Vec<UsageTotal> {
-        self.shared.usage().news(now)
+        self.shared.usage().changed_totals(now)
     }
 
     /// Takes in what a gateway of this one's group let through.
@@ -109,7 +110,7 @@
         now: Millis,
     ) {
         let book = &mut self.limits.book;
-        book.hear(instance, start, usage, Whose::Member, now);
+        book.receive(instance, start, usage, ReportScope::Member, now);
     }
 
     /// Takes in what a heartbeat says of what its gateway let through.
@@ -131,19 +132,19 @@
         now: Millis,
     ) {
         let book = &mut self.limits.book;
-        book.hear(instance, start, usage, Whose::OtherGroup, now);
+        book.receive(instance, start, usage, ReportScope::OtherGroup, now);
     }
 
     /// Returns what this gateway's group let through, where it changed
     /// lately.
     pub(super) fn group_usage(&mut self, now: Millis) -> Vec<UsageTotal> {
-        self.limits.book.group_news(TELL_SUMS_FOR_MS, now)
+        self.limits.book.changed_group_totals(TELL_SUMS_FOR_MS, now)
     }
 
     /// Rules as one that hears all others of its group, and lets traffic go
     /// by it; `None` if it has not heard them for long enough,
     /// or they are few.
-    pub(super) fn rule_limits(&mut self, now: Millis) -> Option<Rulings> {
+    pub(super) fn rule_limits(&mut self, now: Millis) -> Option<Throttles> {
         let catalog = self.catalog.clone();
         let workspaces = catalog.as_ref()?.workspaces.as_ref()?;
         let own = self.usage_news(now);
@@ -151,16 +152,16 @@
         self.hear_usage(&instance, self.start, &own, now);
         let rulings = self.limits.rule(workspaces, now);
         let may_rule = self.has_settled(now)
-            && self.limits.presence.may_rule()
-            && !self.limits.book.catches_up(now);
+            && self.limits.presence.may_throttle()
+            && !self.limits.book.is_catching_up(now);
         let rulings = Some(rulings).filter(|_| may_rule);
         self.keep_to(rulings.as_ref(), now);
         rulings
     }
 
     /// Lets traffic go by rulings.
-    pub(super) fn keep_to(&self, rulings: Option<&Rulings>, now: Millis) {
+    pub(super) fn keep_to(&self, rulings: Option<&Throttles>, now: Millis) {
         let Some(rulings) = rulings else { return };
-        self.shared.usage().rule(rulings, now);
+        self.shared.usage().apply(rulings, now);
     }
 }
--- a/crates/valehold-gateway/src/peers/message.rs
+++ b/crates/valehold-gateway/src/peers/message.rs
@@ -17,7 +17,7 @@
         crashes::CrashReports,
         paces::{PaceNews, PaceObservation},
         upstream_limit::LimitWord,
-        usage::{Rulings, UsageTotal},
+        usage::{Throttles, UsageTotal},
     },
     id::{DataCentreId, InstanceId, UpstreamTag},
 };
@@ -319,7 +319,7 @@
     pub crashes: u64,
     /// What is ruled of workspaces' limits; `None` from a hub that has not
     /// heard for long enough to rule.
-    pub rulings: Option<Rulings>,
+    pub rulings: Option<Throttles>,
 }
 
 /// What the foremost hub of one group says to the hubs of the others, and to
@@ -405,7 +405,7 @@
     /// What all gateways have under way.
     pub loads: LoadNews,
     /// What is ruled of workspaces' limits, as in a summary.
-    pub rulings: Option<Rulings>,
+    pub rulings: Option<Throttles>,
     /// What was learned of engines and models.
     pub paces: PaceNews,
 }
--- a/crates/valehold-gateway/src/peers/roster/words.rs
+++ b/crates/valehold-gateway/src/peers/roster/words.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
-use valehold_core::{Millis, fleet::usage::Rulings};
+use valehold_core::{Millis, fleet::usage::Throttles};
 
 use super::{
     HUBS_KEEP, Heard, Roster,
@@ -173,7 +173,7 @@
         &self,
         own: &Heartbeat,
         members: MemberNews,
-        rulings: Option<Rulings>,
+        rulings: Option<Throttles>,
         now: Millis,
     ) -> Summary {
         // Not of what other hubs of the group say: two hubs would tell each
--- a/crates/valehold-gateway/src/traffic/charge.rs
+++ b/crates/valehold-gateway/src/traffic/charge.rs
@@ -34,7 +34,7 @@
         if !self.is_kept {
             let now = self.shared.clock.now();
             let mut usage = self.shared.usage();
-            usage.give_back(&self.workspace, self.cost, now);
+            usage.refund(&self.workspace, self.cost, now);
         }
     }
 }
@@ -52,7 +52,7 @@
     let meter: &mut UsageMeter = &mut usage;
     let name = &workspace.name;
     meter
-        .let_through(name, &limit, cost, rand::random(), now)
+        .admit(name, &limit, cost, rand::random(), now)
         .map_err(|reached| refuse(app, workspace, limit.unit, reached))?;
     Ok(Some(Charge {
         shared: app.shared.clone(),
@@ -73,5 +73,5 @@
         UsageUnit::Requests => RefusalReason::RateLimited,
         UsageUnit::Tokens { .. } => RefusalReason::TokensLimited,
     };
-    Refusal::not_run(reason, reached.come_back_ms)
+    Refusal::not_run(reason, reached.retry_after_ms)
 }
