--- a/crates/valehold-core/src/fleet/cold/grantor.rs
+++ b/crates/valehold-core/src/fleet/cold/grantor.rs
@@ -143,7 +143,7 @@
             .entry(upstream.clone())
             .or_insert_with(|| Window::new(WINDOW_MS));
         if given.count(now) < most {
-            given.note(now);
+            given.record(now);
             return RightAnswer::Granted;
         }
         let oldest_ms = given.oldest().map_or(0, |at| now.since(at));
--- a/crates/valehold-core/src/fleet/share.rs
+++ b/crates/valehold-core/src/fleet/share.rs
@@ -55,7 +55,7 @@
 
     /// Notes a request's first send.
     pub fn first_send(&mut self, now: Millis) {
-        self.requests.note(now);
+        self.requests.record(now);
     }
 
     /// Tells whether there is a second send left in the share.
@@ -67,7 +67,7 @@
     pub fn try_again(&mut self, now: Millis) -> bool {
         let can = self.can_again(now);
         if can {
-            self.again.note(now);
+            self.again.record(now);
         }
         can
     }
--- a/crates/valehold-core/src/fleet/window.rs
+++ b/crates/valehold-core/src/fleet/window.rs
@@ -1,33 +1,35 @@
-//! Counting what happened within a sliding window.
+//! Counts of events within a sliding window.
 
 use std::collections::VecDeque;
 
 use crate::time::Millis;
 
-/// Counts events of the last `span_ms`, exactly.
+/// Counts the events of the last `span_ms` exactly.
 #[derive(Debug, Clone)]
 pub struct Window {
     span_ms: u64,
+    /// The times of the events, oldest first.
     times: VecDeque<Millis>,
 }
 
 impl Window {
-    /// Makes an empty window.
+    /// Creates an empty window.
     pub fn new(span_ms: u64) -> Self {
         Self { span_ms, times: VecDeque::new() }
     }
 
-    /// Notes an event.
-    pub fn note(&mut self, now: Millis) {
+    /// Records an event at `now`.
+    pub fn record(&mut self, now: Millis) {
         self.times.push_back(now);
     }
 
-    /// Returns when the oldest event happened that was counted last.
+    /// Returns the time of the oldest event that the last call of
+    /// [`Self::count`] kept, or `None` if there are no events.
     pub fn oldest(&self) -> Option<Millis> {
         self.times.front().copied()
     }
 
-    /// Counts the events that are still within the window.
+    /// Counts the events within the window, and drops all others.
     pub fn count(&mut self, now: Millis) -> usize {
         while let Some(first) = self.times.front() {
             if now.since(*first) < self.span_ms {
