--- a/crates/valehold-core/src/fleet/catalog.rs
+++ b/crates/valehold-core/src/fleet/catalog.rs
@@ -217,7 +217,7 @@
         let route = self.find(host, path).map(|route| &route.bound);
         let workspace = workspace
             .zip(self.workspaces.as_ref())
-            .and_then(|(name, workspaces)| workspaces.named(name))
+            .and_then(|(name, workspaces)| workspaces.get(name))
             .map(|workspace| &workspace.bound);
         let bounds = route.into_iter().chain(workspace);
         bounds.fold(RegionBound::Anywhere, |all, bound| all.and(bound))
--- a/crates/valehold-core/src/fleet/tests/usage.rs
+++ b/crates/valehold-core/src/fleet/tests/usage.rs
@@ -41,7 +41,7 @@
 const STEP_MS: u64 = 10;
 
 fn limit(rate: f64) -> UsageLimit {
-    let unit = UsageUnit::Tokens { of_plain: 200 };
+    let unit = UsageUnit::Tokens { default_tokens: 200 };
     UsageLimit { unit, rate, burst: rate }
 }
 
--- a/crates/valehold-core/src/fleet/tests/workspace.rs
+++ b/crates/valehold-core/src/fleet/tests/workspace.rs
@@ -23,12 +23,12 @@
 }
 
 fn name_of(workspaces: &Workspaces, key: &str) -> Option<String> {
-    let found = workspaces.of_key(&KeyDigest::of(key.as_bytes()));
+    let found = workspaces.by_key(&KeyDigest::of(key.as_bytes()));
     found.map(|one| one.name.to_string())
 }
 
 #[gtest]
-fn a_key_opens_its_workspace_alone() {
+fn a_key_belongs_only_to_its_workspace() {
     let mut all = Workspaces::default();
     all.add(workspace("north"), [KeyDigest::of(b"n1"), KeyDigest::of(b"n2")]);
     all.add(workspace("south"), [KeyDigest::of(b"s1")]);
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn a_key_that_is_listed_twice_is_the_later_workspaces() {
+fn a_key_listed_twice_belongs_to_the_later_workspace() {
     let mut all = Workspaces::default();
     all.add(workspace("north"), [KeyDigest::of(b"k")]);
     all.add(workspace("south"), [KeyDigest::of(b"k")]);
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn a_digest_is_printed_without_what_finds_the_key() {
+fn the_debug_output_of_a_digest_reveals_two_bytes_only() {
     let digest = KeyDigest::of(b"a secret");
     let printed = format!("{digest:?}");
     expect_that!(printed.len(), eq("KeyDigest(0000)".len()));
@@ -56,9 +56,9 @@
 }
 
 #[gtest]
-fn a_request_counts_as_its_tokens_or_as_one() {
+fn a_request_costs_its_tokens_or_one() {
     expect_that!(UsageUnit::Requests.cost(Some(900)), eq(1.0));
-    let tokens = UsageUnit::Tokens { of_plain: 200 };
+    let tokens = UsageUnit::Tokens { default_tokens: 200 };
     expect_that!(tokens.cost(Some(900)), eq(900.0));
     expect_that!(tokens.cost(None), eq(200.0));
 }
--- a/crates/valehold-core/src/fleet/workspace.rs
+++ b/crates/valehold-core/src/fleet/workspace.rs
@@ -1,7 +1,8 @@
-//! Workspaces: whose callers use the routes, by which keys, up to what limit.
+//! Workspaces: the tenants whose callers may use the routes, with their keys and
+//! usage limits.
 //!
-//! A caller's key is known by its digest alone. Whoever reads the
-//! configuration as gateways keep it and tell it to one another learns none.
+//! Only the digest of a caller's key is stored, so the configuration that
+//! gateways keep and send one another does not reveal any key.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -11,8 +12,8 @@
 use super::bound::RegionBound;
 use crate::{digest::hexadecimal, id::WorkspaceId};
 
-/// How many bytes of a key's SHA-256 are kept: as many as make it hopeless to
-/// find another key with the same ones, at half of the size.
+/// Number of bytes of a key's SHA-256 that are kept. With 16 bytes it is still
+/// infeasible to find another key with the same digest, at half the size.
 const DIGEST_BYTES: usize = 16;
 
 /// The digest of a caller's key.
@@ -33,9 +34,9 @@
     /// assert_ne!(KeyDigest::of(b"one"), KeyDigest::of(b"two"));
     /// ```
     pub fn of(key: &[u8]) -> Self {
-        let whole = Sha256::digest(key);
+        let full = Sha256::digest(key);
         let mut kept = [0; DIGEST_BYTES];
-        kept.copy_from_slice(&whole[..DIGEST_BYTES]);
+        kept.copy_from_slice(&full[..DIGEST_BYTES]);
         Self(kept)
     }
 }
@@ -46,55 +47,60 @@
     }
 }
 
-/// What a limit counts.
+/// The unit in which a limit counts use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UsageUnit {
-    /// Each request counts as one.
+    /// Each request costs one.
     Requests,
-    /// A request counts as its tokens: those of its prompt and, at most, of
-    /// its answer.
+    /// A request costs its tokens: those of its prompt, and the maximum for its
+    /// answer.
     Tokens {
-        /// The tokens that a request counts as which states none.
-        of_plain: u64,
+        /// The cost of a request that does not state its tokens.
+        default_tokens: u64,
     },
 }
 
 impl UsageUnit {
-    /// Returns what a request counts as; `tokens` is what it states.
+    /// Returns the cost of a request. `tokens` is the number of tokens that the
+    /// request states.
     #[allow(clippy::cast_precision_loss)]
     pub fn cost(self, tokens: Option<u64>) -> f64 {
         match self {
             Self::Requests => 1.0,
-            Self::Tokens { of_plain } => tokens.unwrap_or(of_plain) as f64,
+            Self::Tokens { default_tokens } => {
+                tokens.unwrap_or(default_tokens) as f64
+            }
         }
     }
 }
 
-/// What the callers of a workspace may use, over all gateways together.
+/// The limit on the use of a workspace, over all gateways together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct UsageLimit {
-    /// What is counted.
+    /// The unit of `rate` and `burst`.
     pub unit: UsageUnit,
-    /// How much of it a second.
+    /// The allowed use per second.
     pub rate: f64,
-    /// How much of it beyond that, once.
+    /// The use allowed in addition to the rate, once per window.
     pub burst: f64,
 }
 
-/// A workspace.
+/// A workspace: a tenant with its rank, limit and permitted regions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name.
+    /// The name.
     pub name: WorkspaceId,
-    /// Its rank; 0 is the most urgent. It goes before the routes' ranks.
+    /// The rank; 0 is the most urgent. It takes precedence over the ranks of
+    /// routes.
     pub rank: u8,
-    /// What its callers may use; `None` sets no limit.
+    /// The limit on its use; `None` means unlimited.
     pub limit: Option<UsageLimit>,
     /// The regions in which its requests may be served.
     pub bound: RegionBound,
 }
 
-/// Whose callers may use the routes that are not public.
+/// All workspaces, and the keys of their callers, who may use the routes that
+/// are not public.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Workspaces {
     all: BTreeMap<WorkspaceId, Workspace>,
@@ -104,7 +110,7 @@
 impl Workspaces {
     /// Adds a workspace and the digests of its callers' keys.
     ///
-    /// A key that was another workspace's is this one's from now on.
+    /// A key that belonged to another workspace belongs to this one afterwards.
     pub fn add(
         &mut self,
         workspace: Workspace,
@@ -115,17 +121,18 @@
         self.all.insert(workspace.name.clone(), workspace);
     }
 
-    /// Returns the workspace that has a key.
-    pub fn of_key(&self, key: &KeyDigest) -> Option<&Workspace> {
+    /// Returns the workspace that a key belongs to, or `None` if the key is
+    /// unknown.
+    pub fn by_key(&self, key: &KeyDigest) -> Option<&Workspace> {
         self.all.get(self.keys.get(key)?)
     }
 
-    /// Returns a workspace by its name.
-    pub fn named(&self, name: &WorkspaceId) -> Option<&Workspace> {
+    /// Returns a workspace by its name, or `None` if there is none.
+    pub fn get(&self, name: &WorkspaceId) -> Option<&Workspace> {
         self.all.get(name)
     }
 
-    /// Returns every workspace, in the order of their names.
+    /// Returns all workspaces, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &Workspace> {
         self.all.values()
     }
--- a/crates/valehold-gateway/src/traffic/route.rs
+++ b/crates/valehold-gateway/src/traffic/route.rs
@@ -209,7 +209,7 @@
     said: &CallerRequest,
 ) -> Result<Option<&'a Workspace>, Refusal> {
     let Some(workspaces) = &catalog.workspaces else { return Ok(None) };
-    let found = said.key.as_ref().and_then(|key| workspaces.of_key(key));
+    let found = said.key.as_ref().and_then(|key| workspaces.by_key(key));
     match found {
         None if !route.public => {
             Err(Refusal::not_run(RefusalReason::BadKey, 0))
