--- a/crates/valehold-core/src/fleet/weight_loads.rs
+++ b/crates/valehold-core/src/fleet/weight_loads.rs
@@ -1,119 +1,127 @@
-//! Loads from the weight store, counted for as long as they may begin.
+//! Rate limiting of loads from the weight store.
 //!
-//! The weight store bears so many loads a second, over all engines, and what
-//! counts is when they begin. That is not when a load is planned: a report is
-//! asked for first, the order takes its time, and one that drew no answer may
-//! be carried out seconds later. So a load counts from its plan until the
-//! latest moment at which it can have begun, and for a window from then on.
-//! However late each of them is, no window holds more than are allowed: when
-//! the last of those that began in it was planned, all others were counted.
+//! The weight store supports a limited number of loads per second, over all
+//! engines, counted when they start. A load does not start when it is planned:
+//! the engine is asked for a report first, the order takes time, and an order
+//! without an answer may be executed seconds later. So a load counts from its
+//! planning until the latest time at which it can have started, and for one
+//! window after that. No window holds more loads than allowed, however late
+//! each one starts: when the last load of a window was planned, all others in
+//! that window were counted.
 //!
-//! A holder of the lease that takes over does not know what the last one began.
-//! It counts the most that one may have begun, which kept to the same bounds,
-//! and of its orders without an answer as many as it was told: see
-//! [`Inheritance`].
+//! A new holder of the lease does not know which loads the previous holder
+//! started. The previous holder kept to the same limits, so the new one counts
+//! the maximum that these allow, and the number of unanswered orders that the
+//! previous holder recorded: see [`InheritedLoads`].
 
 use std::collections::BTreeMap;
 
 use super::identity::UpstreamStart;
 use crate::time::Millis;
 
-/// The part of a window in which only as much of its loads begins, so that a
-/// holder that takes over need not wait for a whole window.
-const BURST_PART: f64 = 0.4;
+/// The length of a burst as a fraction of a window. At most the same fraction of
+/// a window's loads starts in a burst, so that a new holder of the lease need
+/// not wait for a whole window.
+const BURST_FRACTION: f64 = 0.4;
 
-/// For how long an order that drew no answer may still be carried out, in ms.
-const MOST_LATE_MS: u64 = 15_000;
+/// How long an unanswered order may still be executed, in ms.
+const MAX_ORDER_DELAY_MS: u64 = 15_000;
 
-/// What the weight store bears.
+/// The rate of loads that the weight store supports.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadRate {
-    /// Loads a second, over all engines.
+    /// Loads per second, over all engines.
     pub per_second: f64,
-    /// The time over which they are counted, in ms.
+    /// The window in which loads are counted, in ms.
     pub window_ms: u64,
 }
 
 impl LoadRate {
-    /// Returns how many loads may begin in a window; one at least.
+    /// Returns the number of loads that may start in a window, at least one.
     pub fn in_window(self) -> usize {
-        self.part(1.0)
+        self.loads_in(1.0)
     }
 
-    /// Returns how many may begin in a part of it of [`Self::burst_ms`].
+    /// Returns the number of loads that may start in a burst, at least one.
     fn in_burst(self) -> usize {
-        self.part(BURST_PART)
+        self.loads_in(BURST_FRACTION)
     }
 
+    /// Returns the length of a burst, in ms.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     fn burst_ms(self) -> u64 {
-        (self.window_ms as f64 * BURST_PART) as u64
+        (self.window_ms as f64 * BURST_FRACTION) as u64
     }
 
+    /// Returns the number of loads in a fraction of a window, at least one.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    fn part(self, part: f64) -> usize {
+    fn loads_in(self, fraction: f64) -> usize {
         let window_s = self.window_ms as f64 / 1_000.0;
-        ((self.per_second * window_s * part) as usize).max(1)
+        ((self.per_second * window_s * fraction) as usize).max(1)
     }
 }
 
-/// A place in the row of orders that one start of an engine takes: whatever is
-/// ordered there, and however often, the engine carries one order out.
+/// A position in the sequence of orders that one start of an engine accepts.
+///
+/// The engine executes a single order for each position, however many are sent.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct OrderPlace {
-    /// The engine.
+pub struct OrderPosition {
+    /// The start of the engine.
     pub start: UpstreamStart,
-    /// How many orders it took before.
+    /// The number of orders that the engine accepted before.
     pub sequence: u64,
 }
 
-/// How an order to load from the weight store ended.
+/// The outcome of an order to load from the weight store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LoadEnd {
-    /// The engine took it.
-    Began,
-    /// It was not sent, or the engine turned it away.
-    NotBegun,
-    /// Nothing tells: the engine may carry it out, also later.
+pub enum LoadOutcome {
+    /// The engine accepted the order.
+    Started,
+    /// The order was not sent, or the engine rejected it.
+    NotStarted,
+    /// The order was not answered: the engine may have executed it, or may still
+    /// execute it.
     Unknown,
 }
 
-/// Loads whose orders drew no answer.
+/// Loads whose orders were not answered and that may still start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LostLoads {
-    /// How many.
+    /// The number of loads.
     pub count: usize,
-    /// Until when any of them may begin.
+    /// The latest time at which any of them can start.
     pub until: Millis,
 }
 
-/// What a holder of the lease knows of loads that others ordered before.
+/// The loads that previous holders of the lease ordered, as far as the current
+/// holder knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Inheritance {
-    /// Until when orders of theirs that were not held up have arrived.
+pub struct InheritedLoads {
+    /// The time by which their orders have arrived, except for delayed ones.
     pub until: Millis,
-    /// Those that may begin later.
+    /// The loads that may start later.
     pub lost: LostLoads,
 }
 
-/// A load that may yet begin.
+/// A load that may still start.
 #[derive(Debug, Clone, Copy, Default)]
-struct OpenLoad {
-    /// Whether an order is being given.
-    under_way: bool,
-    /// When it was last found that one drew no answer.
+struct PendingLoad {
+    /// Whether an order for the load is in flight.
+    in_flight: bool,
+    /// When the last unanswered order was given up.
     lost: Option<Millis>,
 }
 
-impl OpenLoad {
-    /// Tells whether its order arrived within a span, if it did without delay.
+impl PendingLoad {
+    /// Returns whether the order arrived within the last `span_ms`, provided that
+    /// it was not delayed.
     fn is_within(&self, span_ms: u64, now: Millis) -> bool {
         let is_recent = |lost| now.since(lost) <= span_ms;
-        self.under_way || self.lost.is_some_and(is_recent)
+        self.in_flight || self.lost.is_some_and(is_recent)
     }
 }
 
-/// The loads from the weight store that one holder of the lease counts.
+/// Counts the loads from the weight store for one holder of the lease.
 ///
 /// # Example
 ///
@@ -123,151 +131,171 @@
 /// let rate = LoadRate { per_second: 1.0, window_ms: 5_000 };
 /// let mut loads = WeightLoads::default();
 /// let start = UpstreamStart { id: UpstreamId::new("e1"), birth: None };
-/// let place = OrderPlace { start, sequence: 0 };
-/// loads.plan(place.clone());
+/// let position = OrderPosition { start, sequence: 0 };
+/// loads.plan(position.clone());
 /// assert_eq!(loads.count(rate, Millis::new(60_000)), 1);
-/// loads.end(&place, LoadEnd::Began, Millis::new(60_000));
+/// loads.record_outcome(&position, LoadOutcome::Started, Millis::new(60_000));
 /// assert_eq!(loads.count(rate, Millis::new(65_000)), 1);
 /// assert_eq!(loads.count(rate, Millis::new(65_001)), 0);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct WeightLoads {
-    open: BTreeMap<OrderPlace, OpenLoad>,
-    /// The latest moments at which loads can have begun that are open no more.
-    begun: Vec<Millis>,
-    inherited: Option<Inheritance>,
+    /// The loads that may still start.
+    pending: BTreeMap<OrderPosition, PendingLoad>,
+    /// The latest possible start of each load that has started.
+    started: Vec<Millis>,
+    inherited: Option<InheritedLoads>,
 }
 
 impl WeightLoads {
-    /// Notes that a load is planned.
-    pub fn plan(&mut self, place: OrderPlace) {
-        self.open.entry(place).or_default().under_way = true;
+    /// Records that a load is planned.
+    pub fn plan(&mut self, position: OrderPosition) {
+        self.pending.entry(position).or_default().in_flight = true;
     }
 
-    /// Notes how the order of a load ended.
-    pub fn end(&mut self, place: &OrderPlace, end: LoadEnd, now: Millis) {
-        let Some(open) = self.open.get_mut(place) else { return };
-        open.under_way = false;
-        match end {
-            LoadEnd::Began => {
-                self.open.remove(place);
-                self.begun.push(now);
+    /// Records the outcome of the order for a load.
+    pub fn record_outcome(
+        &mut self,
+        position: &OrderPosition,
+        outcome: LoadOutcome,
+        now: Millis,
+    ) {
+        let Some(pending) = self.pending.get_mut(position) else { return };
+        pending.in_flight = false;
+        match outcome {
+            LoadOutcome::Started => {
+                self.pending.remove(position);
+                self.started.push(now);
             }
-            LoadEnd::Unknown => open.lost = Some(now),
-            // An earlier one at the same place may still be carried out.
-            LoadEnd::NotBegun if open.lost.is_some() => {}
-            LoadEnd::NotBegun => {
-                self.open.remove(place);
+            LoadOutcome::Unknown => pending.lost = Some(now),
+            // An earlier order for the same position may still be executed.
+            LoadOutcome::NotStarted if pending.lost.is_some() => {}
+            LoadOutcome::NotStarted => {
+                self.pending.remove(position);
             }
         }
     }
 
-    /// Notes that an engine took an order at a place that is no load from the
-    /// weight store: whatever else was ordered there is not carried out.
-    pub fn void(&mut self, place: &OrderPlace) {
-        self.open.remove(place);
+    /// Discards the load at a position: the engine accepted another order for the
+    /// position, which is not a load from the weight store.
+    pub fn discard(&mut self, position: &OrderPosition) {
+        self.pending.remove(position);
     }
 
-    /// Notes that an engine has taken so many orders: loads at earlier places
-    /// began, or never will.
-    pub fn seen(&mut self, start: &UpstreamStart, orders: u64, now: Millis) {
-        let is_past = |place: &OrderPlace, open: &OpenLoad| {
-            place.start == *start && place.sequence < orders && !open.under_way
+    /// Records the number of orders that an engine has accepted. Loads at earlier
+    /// positions have started, or never will.
+    pub fn record_accepted(
+        &mut self,
+        start: &UpstreamStart,
+        accepted: u64,
+        now: Millis,
+    ) {
+        let is_past = |position: &OrderPosition, pending: &PendingLoad| {
+            position.start == *start
+                && position.sequence < accepted
+                && !pending.in_flight
         };
-        let begun = &mut self.begun;
-        self.open.retain(|place, open| {
-            let is_past = is_past(place, open);
+        let started = &mut self.started;
+        self.pending.retain(|position, pending| {
+            let is_past = is_past(position, pending);
             if is_past {
-                begun.push(now);
+                started.push(now);
             }
             !is_past
         });
     }
 
-    /// Notes that other holders gave orders before. What this one knows of
-    /// loads until then is counted among the most that they may have begun.
-    pub fn inherit(&mut self, others: Inheritance) {
-        self.begun.retain(|begun| *begun > others.until);
-        self.inherited = Some(others);
+    /// Records the loads that previous holders of the lease ordered.
+    ///
+    /// The loads of this holder that started by then are dropped: the maximum
+    /// that previous holders may have started includes them.
+    pub fn inherit(&mut self, previous: InheritedLoads) {
+        self.started.retain(|started| *started > previous.until);
+        self.inherited = Some(previous);
     }
 
-    /// Returns the loads whose orders drew no answer and that may begin yet:
-    /// the next holder is told.
+    /// Returns the loads whose orders were not answered and that may still
+    /// start, to record them for the next holder.
     pub fn lost(&mut self, now: Millis) -> LostLoads {
         self.expire(now);
-        let own = self.open.values().filter_map(|open| open.lost);
-        let own = own.map(|lost| lost + MOST_LATE_MS);
-        let others = self.inherited_lost(0, now);
-        own.fold(others, |all, until| LostLoads {
+        let own = self.pending.values().filter_map(|pending| pending.lost);
+        let own = own.map(|lost| lost + MAX_ORDER_DELAY_MS);
+        let previous = self.inherited_lost(0, now);
+        own.fold(previous, |all, until| LostLoads {
             count: all.count + 1,
             until: all.until.max(until),
         })
     }
 
-    /// Returns others' loads whose orders drew no answer, if they may have
-    /// begun so long ago at the most.
+    /// Returns the unanswered loads of previous holders if any of them may have
+    /// started within the last `span_ms` or may still start.
     fn inherited_lost(&self, span_ms: u64, now: Millis) -> LostLoads {
-        let lost = self.inherited.map(|others| others.lost);
+        let lost = self.inherited.map(|previous| previous.lost);
         let lost = lost.filter(|lost| now.since(lost.until) <= span_ms);
         lost.unwrap_or_default()
     }
 
-    /// Counts the loads that can have begun within the last window, or may
-    /// begin yet.
+    /// Counts the loads that can have started within the last window or may still
+    /// start.
     pub fn count(&mut self, rate: LoadRate, now: Millis) -> usize {
         self.expire(now);
-        self.begun.retain(|begun| now.since(*begun) <= rate.window_ms);
-        self.open.len()
+        self.started.retain(|started| now.since(*started) <= rate.window_ms);
+        self.pending.len()
             + self.inherited_lost(rate.window_ms, now).count
-            + self.begun_within(rate.window_ms, rate, now)
+            + self.started_within(rate.window_ms, rate, now)
     }
 
-    /// Tells whether a load at a place is counted already: an order that drew
-    /// no answer may be given again at any time.
-    pub fn is_counted(&self, place: &OrderPlace) -> bool {
-        self.open.contains_key(place)
+    /// Returns whether the load at a position is counted already. If so, its
+    /// unanswered order may be sent again at any time.
+    pub fn is_counted(&self, position: &OrderPosition) -> bool {
+        self.pending.contains_key(position)
     }
 
-    /// Returns how many loads may be planned now.
-    pub fn left(&mut self, rate: LoadRate, now: Millis) -> usize {
-        let left = rate.in_window().saturating_sub(self.count(rate, now));
+    /// Returns the number of loads that may be planned now.
+    pub fn available(&mut self, rate: LoadRate, now: Millis) -> usize {
+        let in_window = rate.in_window().saturating_sub(self.count(rate, now));
         let burst_ms = rate.burst_ms();
-        let open = self.open.values();
-        let open = open.filter(|open| open.is_within(burst_ms, now)).count();
-        let burst = open + self.begun_within(burst_ms, rate, now);
-        left.min(rate.in_burst().saturating_sub(burst))
+        let pending = self.pending.values();
+        let pending =
+            pending.filter(|pending| pending.is_within(burst_ms, now)).count();
+        let in_burst = pending + self.started_within(burst_ms, rate, now);
+        in_window.min(rate.in_burst().saturating_sub(in_burst))
     }
 
-    fn begun_within(
+    /// Counts the loads that can have started within the last `span_ms`.
+    fn started_within(
         &self,
         span_ms: u64,
         rate: LoadRate,
         now: Millis,
     ) -> usize {
-        let begun = self.begun.iter();
-        let begun = begun.filter(|begun| now.since(**begun) <= span_ms);
-        let inherited = self.inherited.map_or(0, |others| {
-            inherited_within(span_ms, others.until, rate, now)
+        let started = self.started.iter();
+        let started =
+            started.filter(|started| now.since(**started) <= span_ms);
+        let inherited = self.inherited.map_or(0, |previous| {
+            inherited_within(span_ms, previous.until, rate, now)
         });
-        begun.count() + inherited
+        started.count() + inherited
     }
 
-    /// Takes orders for begun that cannot be carried out any more.
+    /// Treats unanswered orders that can no longer be executed as started.
     fn expire(&mut self, now: Millis) {
-        let begun = &mut self.begun;
-        self.open.retain(|_, open| {
-            let lost = open.lost.filter(|_| !open.under_way);
-            let until = lost.map(|lost| lost + MOST_LATE_MS);
-            let over = until.filter(|until| *until <= now);
-            begun.extend(over);
-            over.is_none()
+        let started = &mut self.started;
+        self.pending.retain(|_, pending| {
+            let lost = pending.lost.filter(|_| !pending.in_flight);
+            let until = lost.map(|lost| lost + MAX_ORDER_DELAY_MS);
+            let expired = until.filter(|until| *until <= now);
+            started.extend(expired);
+            expired.is_none()
         });
     }
 }
 
-/// Counts the most loads of others that can have begun within a span, if they
-/// began until a moment: as much as a burst at that moment, at one burst's
-/// time before, and so on.
+/// Counts the maximum number of loads of previous holders that can have started
+/// within the last `span_ms`.
+///
+/// In the worst case, a full burst of loads started at `until`, another one
+/// burst length earlier, and so on.
 fn inherited_within(
     span_ms: u64,
     until: Millis,
@@ -275,16 +303,16 @@
     now: Millis,
 ) -> usize {
     let mut within = 0;
-    let mut left = rate.in_window();
+    let mut remaining = rate.in_window();
     let mut before_ms = 0;
-    while left > 0 {
-        let burst = left.min(rate.in_burst());
+    while remaining > 0 {
+        let burst = remaining.min(rate.in_burst());
         let ago_ms =
             (now.since(until) + before_ms).saturating_sub(until.since(now));
         if ago_ms <= span_ms {
             within += burst;
         }
-        left -= burst;
+        remaining -= burst;
         before_ms += rate.burst_ms();
     }
     within
--- a/crates/valehold-gateway/src/control/entry.rs
+++ b/crates/valehold-gateway/src/control/entry.rs
@@ -9,7 +9,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Holding, Upstream, UpstreamStart, Variant, weight_loads::OrderPlace,
+        Holding, Upstream, UpstreamStart, Variant, weight_loads::OrderPosition,
     },
     id::{DataCentreId, ModelName, ServiceName},
     order::Stamp,
@@ -154,9 +154,9 @@
     }
 
     /// Returns which of the orders that it takes the next one is.
-    pub(super) fn next_place(&self) -> OrderPlace {
+    pub(super) fn next_place(&self) -> OrderPosition {
         let start = self.start.clone();
-        OrderPlace { start, sequence: self.holding.sequence }
+        OrderPosition { start, sequence: self.holding.sequence }
     }
 
     pub(super) fn may_order(&self, now: Millis) -> bool {
--- a/crates/valehold-gateway/src/control/input.rs
+++ b/crates/valehold-gateway/src/control/input.rs
@@ -7,7 +7,7 @@
     fleet::{
         Catalog, EvacuationNews, Listing, UpstreamStart,
         replicas::LoadSource,
-        weight_loads::{LoadEnd, OrderPlace},
+        weight_loads::{LoadOutcome, OrderPosition},
     },
 };
 use valehold_ports::{
@@ -50,9 +50,9 @@
 
 impl GivenOrder {
     /// Returns which of the orders that its engine takes it is.
-    pub(super) fn place(&self) -> OrderPlace {
+    pub(super) fn place(&self) -> OrderPosition {
         let start = self.engine.clone();
-        OrderPlace { start, sequence: self.expected_sequence }
+        OrderPosition { start, sequence: self.expected_sequence }
     }
 }
 
@@ -89,18 +89,20 @@
     }
 
     /// Returns what it says of the load that was ordered.
-    pub(super) fn of_load(&self) -> LoadEnd {
+    pub(super) fn of_load(&self) -> LoadOutcome {
         match self {
-            Self::NotSent => LoadEnd::NotBegun,
+            Self::NotSent => LoadOutcome::NotStarted,
             Self::Answered(answer) => match answer.outcome {
-                OrderOutcome::Accepted | OrderOutcome::Holds => LoadEnd::Began,
-                OrderOutcome::Conflict => LoadEnd::NotBegun,
+                OrderOutcome::Accepted | OrderOutcome::Holds => {
+                    LoadOutcome::Started
+                }
+                OrderOutcome::Conflict => LoadOutcome::NotStarted,
                 // Failures of the engine are among these.
-                OrderOutcome::Refused => LoadEnd::Unknown,
+                OrderOutcome::Refused => LoadOutcome::Unknown,
             },
             Self::Unanswered(error) => match error.verdict() {
-                Verdict::NotRun => LoadEnd::NotBegun,
-                Verdict::MayHaveRun | Verdict::Ran => LoadEnd::Unknown,
+                Verdict::NotRun => LoadOutcome::NotStarted,
+                Verdict::MayHaveRun | Verdict::Ran => LoadOutcome::Unknown,
             },
         }
     }
--- a/crates/valehold-gateway/src/control/lease.rs
+++ b/crates/valehold-gateway/src/control/lease.rs
@@ -22,7 +22,7 @@
     Millis,
     fleet::{
         StoreVersion,
-        weight_loads::{Inheritance, LostLoads},
+        weight_loads::{InheritedLoads, LostLoads},
     },
     id::InstanceId,
     lease::{
@@ -151,7 +151,7 @@
     /// The last epoch that this process held.
     held: Option<u64>,
     /// What is to be counted of loads that others ordered, once it is taken.
-    inheritance: Option<Inheritance>,
+    inheritance: Option<InheritedLoads>,
     /// Loads that were ordered without an answer, which the row tells.
     lost_loads: LostLoads,
     /// The row's version when its holder was heard last.
@@ -440,7 +440,7 @@
         &self,
         before: Before,
         row: Option<&LeaseRow>,
-    ) -> Option<Inheritance> {
+    ) -> Option<InheritedLoads> {
         let quiet_from = self.orders_from - self.quiet_ms;
         let until = match before {
             Before::Nobody | Before::This => return None,
@@ -452,11 +452,11 @@
             count: row.lost_loads as usize,
             until: clock.local_time(row.lost_until),
         };
-        Some(Inheritance { until, lost })
+        Some(InheritedLoads { until, lost })
     }
 
     /// Returns what is to be counted of loads that others ordered, once.
-    pub(super) fn take_inheritance(&mut self) -> Option<Inheritance> {
+    pub(super) fn take_inheritance(&mut self) -> Option<InheritedLoads> {
         self.inheritance.take()
     }
 
--- a/crates/valehold-gateway/src/control/lease/tests.rs
+++ b/crates/valehold-gateway/src/control/lease/tests.rs
@@ -13,7 +13,7 @@
     fleet::{
         Listing, StoreVersion,
         crashes::{RecordChange, RecordState},
-        weight_loads::{Inheritance, LostLoads},
+        weight_loads::{InheritedLoads, LostLoads},
     },
     id::InstanceId,
     lease::{LeaseInEra, LeaseRow, VersionedLease},
@@ -254,7 +254,7 @@
 }
 
 /// Lets a gateway take the lease, and returns what it counts of others' loads.
-async fn inherited(member: &mut Member, from: u64) -> Option<Inheritance> {
+async fn inherited(member: &mut Member, from: u64) -> Option<InheritedLoads> {
     member.act_from(from, from + 5_000).await;
     expect_true!(member.duty.held_epoch(at(from + 5_000)).is_some());
     member.duty.take_inheritance()
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -35,7 +35,7 @@
         rest::Rests,
         topology::Topology,
         upstream_limit::UpstreamLimits,
-        weight_loads::{Inheritance, LostLoads, WeightLoads},
+        weight_loads::{InheritedLoads, LostLoads, WeightLoads},
     },
     id::{DataCentreId, InstanceId, ModelName, ServiceName, UpstreamId},
     order::Stamp,
@@ -229,7 +229,7 @@
     pub(super) fn begin_epoch(
         &mut self,
         epoch: u64,
-        others: Option<Inheritance>,
+        others: Option<InheritedLoads>,
     ) {
         self.stamp = Stamp { epoch, sequence: 0 };
         self.held_back = false;
@@ -418,7 +418,7 @@
         entry.failures = 0;
         if entry.is_of_this_start(report.birth) {
             let orders = report.holding.sequence;
-            self.weight_loads.seen(start, orders, now);
+            self.weight_loads.record_accepted(start, orders, now);
         }
         if entry.is_later(report.birth) {
             entry.begin_anew(report.birth);
--- a/crates/valehold-gateway/src/control/placer/models.rs
+++ b/crates/valehold-gateway/src/control/placer/models.rs
@@ -90,7 +90,7 @@
         self.turn = first + 1;
         let mut waiting = services.len();
         for (service, spec) in services {
-            let left = self.weight_loads.left(rate, now);
+            let left = self.weight_loads.available(rate, now);
             let allowed = left.div_ceil(waiting);
             waiting -= 1;
             self.note_lost(now, service, spec);
@@ -195,7 +195,7 @@
 
     /// Logs that no more loads may begin for now, once.
     pub(super) fn tell_held_back(&mut self, now: Millis, rate: LoadRate) {
-        let is_held_back = self.weight_loads.left(rate, now) == 0;
+        let is_held_back = self.weight_loads.available(rate, now) == 0;
         let was_held_back =
             std::mem::replace(&mut self.held_back, is_held_back);
         if is_held_back && !was_held_back {
--- a/crates/valehold-gateway/src/control/placer/orders.rs
+++ b/crates/valehold-gateway/src/control/placer/orders.rs
@@ -194,9 +194,9 @@
     fn count_load(&mut self, order: &GivenOrder, end: &OrderEnd, now: Millis) {
         let place = order.place();
         if order.source == Some(LoadSource::WeightStore) {
-            self.weight_loads.end(&place, end.of_load(), now);
+            self.weight_loads.record_outcome(&place, end.of_load(), now);
         } else if end.was_taken() {
-            self.weight_loads.void(&place);
+            self.weight_loads.discard(&place);
         }
     }
 }
