--- a/crates/valehold-core/examples/crash_book.rs
+++ b/crates/valehold-core/examples/crash_book.rs
@@ -1,5 +1,6 @@
 //! Measures the cost of crash detection: the digest of each request, which is
-//! computed while any crash is recorded, and the operations of a growing book.
+//! computed while any crash is recorded, and the operations of a
+//! [`CrashTracker`] as it grows.
 //!
 //! `cargo run --release -p valehold-core --example crash_book`
 
@@ -7,7 +8,7 @@
 
 use valehold_core::{
     Millis,
-    fleet::crashes::{CrashBook, RequestContent},
+    fleet::crashes::{CrashTracker, RequestContent},
     id::UpstreamTag,
 };
 
@@ -34,18 +35,18 @@
         println!("a digest of a body of {bytes} bytes: {took_us:.1} µs");
     }
     for crashes in [3, 50, 200] {
-        let (book, now) = filled_book(crashes);
+        let (tracker, now) = filled_tracker(crashes);
         let look_up = RequestContent::of("callers.example", "/a", None, b"");
         let look_up_us = mean_us(|| {
-            black_box(book.refused_ms(&look_up, now));
+            black_box(tracker.refused_ms(&look_up, now));
         });
         let digest_us = mean_us(|| {
-            black_box(book.digest(now));
+            black_box(tracker.digest(now));
         });
         let record_us = mean_us(|| {
-            let mut book = book.clone();
-            book.record_crash(UpstreamTag::new(u32::MAX), [look_up], now);
-            black_box(&book);
+            let mut tracker = tracker.clone();
+            tracker.record_crash(UpstreamTag::new(u32::MAX), [look_up], now);
+            black_box(&tracker);
         });
         println!(
             "{crashes} crashes with {IN_FLIGHT} requests each: looked up in \
@@ -55,10 +56,10 @@
     }
 }
 
-/// Returns a book with crashes that all have one request in common, and the
+/// Returns a tracker with crashes that all have one request in common, and the
 /// time of the last one.
-fn filled_book(crashes: u32) -> (CrashBook, Millis) {
-    let mut book = CrashBook::new(RETENTION_MS);
+fn filled_tracker(crashes: u32) -> (CrashTracker, Millis) {
+    let mut tracker = CrashTracker::new(RETENTION_MS);
     let mut now = Millis::new(0);
     let of =
         |path: &str| RequestContent::of("callers.example", path, None, b"");
@@ -66,9 +67,9 @@
         now = now + 500;
         let beside = (1..IN_FLIGHT).map(|one| of(&format!("{crash} {one}")));
         let in_flight = beside.chain([of("causes it")]);
-        book.record_crash(UpstreamTag::new(crash), in_flight, now);
+        tracker.record_crash(UpstreamTag::new(crash), in_flight, now);
     }
-    (book, now)
+    (tracker, now)
 }
 
 /// Runs an operation [`ROUNDS`] times and returns its mean duration, in µs.
--- a/crates/valehold-core/src/fleet/crashes/content.rs
+++ b/crates/valehold-core/src/fleet/crashes/content.rs
@@ -11,10 +11,10 @@
 /// Identifies a request by its content: host, path, caller and body.
 ///
 /// Two attempts at the same request have different identifiers and the same
-/// content. The value is the first 64 bits of a SHA-256 digest. A cryptographic
-/// hash keeps callers from making a request that passes for the request of
-/// another caller. Among 10,000 tracked contents of a fleet, the chance
-/// that any two have the same value is 1 in 370 billion.
+/// content. The value is the first 64 bits of a SHA-256 digest. A
+/// cryptographic hash keeps callers from making a request that passes for the
+/// request of another caller. Among 10,000 tracked contents of a fleet, the
+/// chance that any two have the same value is 1 in 370 billion.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/valehold-core/src/fleet/crashes/culprits.rs
+++ b/crates/valehold-core/src/fleet/crashes/culprits.rs
@@ -8,8 +8,8 @@
 /// Number of crashes after which a request is refused; users accept three.
 pub const REFUSED_AFTER_CRASHES: usize = 3;
 
-/// Crashes within this time, in ms, may have one common cause, such as the loss
-/// of a rack.
+/// Crashes within this time, in ms, may have one common cause, such as the
+/// loss of a rack.
 const SIMULTANEOUS_MS: u64 = 100;
 
 /// A crash of one start of an upstream.
--- a/crates/valehold-core/src/fleet/crashes/mod.rs
+++ b/crates/valehold-core/src/fleet/crashes/mod.rs
@@ -1,22 +1,22 @@
 //! Detection of requests that crash the upstreams that run them.
 //!
 //! When an upstream crashes, each request that was in flight there without
-//! output may be the cause. [`CrashBook`] holds the crashes that one instance
-//! knows of, with the requests in flight at each, and determines which
-//! requests are refused ([`find_culprits`]). Instances exchange all of these
-//! records ([`CrashReports`]). The set of records only grows until records
-//! expire, so reports may be lost, delayed, duplicated or reordered.
+//! output may be the cause. [`CrashTracker`] holds the crashes that one
+//! instance knows of, with the requests in flight at each, and determines
+//! which requests are refused ([`find_culprits`]). Instances exchange all of
+//! these records ([`CrashReports`]). The set of records only grows until
+//! records expire, so reports may be lost, delayed, duplicated or reordered.
 
-mod book;
 mod content;
 mod culprits;
 mod record;
 mod reports;
+mod tracker;
 
 pub use self::{
-    book::CrashBook,
     content::{ParseContentError, RequestContent},
     culprits::{Crash, REFUSED_AFTER_CRASHES, find_culprits},
     record::{RecordChange, RecordState, RecordedRefusal},
     reports::{AnsweredReport, CrashReport, CrashReports, RefusedReport},
+    tracker::CrashTracker,
 };
--- a/crates/valehold-core/src/fleet/crashes/record.rs
+++ b/crates/valehold-core/src/fleet/crashes/record.rs
@@ -55,8 +55,8 @@
         all.filter(|report| report.left_ms > 0).collect()
     }
 
-    /// Returns the change after which the store records the `refused` requests,
-    /// but neither the `cleared` nor the expired ones.
+    /// Returns the change after which the store records the `refused`
+    /// requests, but neither the `cleared` nor the expired ones.
     ///
     /// A change holds at most 50 refusals to write and 50 to delete. The rest
     /// is part of the changes that are computed after later reads.
--- a/crates/valehold-core/src/fleet/crashes/book.rs
+++ b/crates/valehold-core/src/fleet/crashes/tracker.rs
@@ -39,7 +39,7 @@
 /// one record, the earliest applies: a report states the remaining time, so
 /// each transit delays the expiry that the receiver computes.
 #[derive(Debug, Clone)]
-pub struct CrashBook {
+pub struct CrashTracker {
     retention_ms: u64,
     crashes: BTreeMap<UpstreamTag, Crash>,
     /// Suspects that an upstream has answered, with the expiry of the answer.
@@ -63,8 +63,8 @@
     Answered(RequestContent),
 }
 
-impl CrashBook {
-    /// Creates an empty book whose records expire after `retention_ms`.
+impl CrashTracker {
+    /// Creates an empty tracker whose records expire after `retention_ms`.
     pub fn new(retention_ms: u64) -> Self {
         Self {
             retention_ms,
@@ -185,7 +185,7 @@
 
     /// Merges the reports of another instance.
     ///
-    /// Lists longer than this book may hold are truncated.
+    /// Lists longer than this tracker may hold are truncated.
     pub fn receive(&mut self, reports: &CrashReports, now: Millis) {
         let mut is_changed = false;
         for report in reports.crashes.iter().take(MAX_CRASHES) {
--- a/crates/valehold-core/src/fleet/tests/crashes.rs
+++ b/crates/valehold-core/src/fleet/tests/crashes.rs
@@ -4,7 +4,9 @@
 use proptest::{collection::vec, prelude::*};
 
 use crate::{
-    fleet::crashes::{CrashBook, CrashReports, RefusedReport, RequestContent},
+    fleet::crashes::{
+        CrashReports, CrashTracker, RefusedReport, RequestContent,
+    },
     id::UpstreamTag,
     testing::{cases, few_cases},
     time::Millis,
@@ -25,51 +27,51 @@
     Millis::new(ms)
 }
 
-/// Returns the book of an instance that detected crashes, each given by the
+/// Returns the tracker of an instance that detected crashes, each given by the
 /// number of the upstream, the time and the requests in flight.
-fn book_of(crashes: &[(u32, u64, &[&str])]) -> CrashBook {
-    let mut book = CrashBook::new(RETENTION_MS);
+fn tracker_of(crashes: &[(u32, u64, &[&str])]) -> CrashTracker {
+    let mut tracker = CrashTracker::new(RETENTION_MS);
     for (number, ms, in_flight) in crashes {
         let in_flight = in_flight.iter().map(|name| content(name));
-        book.record_crash(tag(*number), in_flight, at(*ms));
+        tracker.record_crash(tag(*number), in_flight, at(*ms));
     }
-    book
+    tracker
 }
 
-fn is_refused(book: &CrashBook, name: &str, now: u64) -> bool {
-    book.refused_ms(&content(name), at(now)).is_some()
+fn is_refused(tracker: &CrashTracker, name: &str, now: u64) -> bool {
+    tracker.refused_ms(&content(name), at(now)).is_some()
 }
 
 #[gtest]
 fn a_request_is_refused_after_the_third_crash() {
-    let mut book = book_of(&[(1, 1_000, &["p"]), (2, 2_000, &["p"])]);
-    expect_false!(is_refused(&book, "p", 2_000));
-    book.record_crash(tag(3), [content("p")], at(3_000));
-    expect_true!(is_refused(&book, "p", 3_000));
-    expect_false!(is_refused(&book, "other", 3_000));
-    expect_that!(book.changes(), eq(1));
+    let mut tracker = tracker_of(&[(1, 1_000, &["p"]), (2, 2_000, &["p"])]);
+    expect_false!(is_refused(&tracker, "p", 2_000));
+    tracker.record_crash(tag(3), [content("p")], at(3_000));
+    expect_true!(is_refused(&tracker, "p", 3_000));
+    expect_false!(is_refused(&tracker, "other", 3_000));
+    expect_that!(tracker.changes(), eq(1));
 }
 
 #[gtest]
 fn a_crash_detected_by_several_instances_counts_once() {
-    let mut book = book_of(&[(1, 1_000, &["p"]), (2, 2_000, &["p"])]);
-    book.record_crash(tag(2), [content("p")], at(2_500));
-    let reports = book.reports(at(2_600));
-    book.receive(&reports, at(9_000));
-    expect_false!(is_refused(&book, "p", 9_000));
+    let mut tracker = tracker_of(&[(1, 1_000, &["p"]), (2, 2_000, &["p"])]);
+    tracker.record_crash(tag(2), [content("p")], at(2_500));
+    let reports = tracker.reports(at(2_600));
+    tracker.receive(&reports, at(9_000));
+    expect_false!(is_refused(&tracker, "p", 9_000));
 }
 
 #[gtest]
 fn requests_in_flight_beside_the_culprit_are_not_refused() {
-    let book = book_of(&[
+    let tracker = tracker_of(&[
         (1, 1_000, &["p", "a", "b"]),
         (2, 1_200, &["p", "a", "b"]),
         (3, 1_400, &["p", "a", "c"]),
         (4, 1_600, &["p", "b", "c"]),
     ]);
-    expect_true!(is_refused(&book, "p", 1_600));
+    expect_true!(is_refused(&tracker, "p", 1_600));
     for name in ["a", "b", "c"] {
-        expect_false!(is_refused(&book, name, 1_600), "{name}");
+        expect_false!(is_refused(&tracker, name, 1_600), "{name}");
     }
 }
 
@@ -82,22 +84,22 @@
         (2, 1_200, &["p", "a"]),
         (3, 1_400, &["p", "a"]),
     ];
-    let mut book = book_of(&crashes);
-    expect_false!(is_refused(&book, "p", 1_400));
-    expect_false!(is_refused(&book, "a", 1_400));
-    let mut answered = book.clone();
+    let mut tracker = tracker_of(&crashes);
+    expect_false!(is_refused(&tracker, "p", 1_400));
+    expect_false!(is_refused(&tracker, "a", 1_400));
+    let mut answered = tracker.clone();
     answered.record_answer(content("a"), at(1_500));
     expect_true!(is_refused(&answered, "p", 1_500));
     expect_false!(is_refused(&answered, "a", 1_500));
-    book.record_crash(tag(4), [content("p")], at(1_600));
-    expect_true!(is_refused(&book, "p", 1_600));
-    expect_false!(is_refused(&book, "a", 1_600));
+    tracker.record_crash(tag(4), [content("p")], at(1_600));
+    expect_true!(is_refused(&tracker, "p", 1_600));
+    expect_false!(is_refused(&tracker, "a", 1_600));
 }
 
 /// `a` was in flight at three crashes, each caused by one of two culprits.
 #[gtest]
 fn a_request_beside_two_culprits_is_not_refused() {
-    let book = book_of(&[
+    let tracker = tracker_of(&[
         (1, 1_000, &["p", "a"]),
         (2, 1_300, &["q", "a"]),
         (3, 1_600, &["p", "a"]),
@@ -105,16 +107,16 @@
         (5, 2_200, &["p"]),
         (6, 2_500, &["q"]),
     ]);
-    expect_true!(is_refused(&book, "p", 2_500));
-    expect_true!(is_refused(&book, "q", 2_500));
-    expect_false!(is_refused(&book, "a", 2_500));
+    expect_true!(is_refused(&tracker, "p", 2_500));
+    expect_true!(is_refused(&tracker, "q", 2_500));
+    expect_false!(is_refused(&tracker, "a", 2_500));
 }
 
-/// The loss of a rack crashes many upstreams at once, with requests of the same
-/// content in flight at several of them.
+/// The loss of a rack crashes many upstreams at once, with requests of the
+/// same content in flight at several of them.
 #[gtest]
 fn simultaneous_crashes_of_many_upstreams_count_once() {
-    let mut book = book_of(&[
+    let mut tracker = tracker_of(&[
         (1, 1_000, &["a"]),
         (2, 1_020, &["a"]),
         (3, 1_030, &["b"]),
@@ -122,23 +124,23 @@
         (5, 1_090, &["c"]),
     ]);
     for name in ["a", "b", "c"] {
-        expect_false!(is_refused(&book, name, 1_100), "{name}");
+        expect_false!(is_refused(&tracker, name, 1_100), "{name}");
     }
     // `a` does crash upstreams: two later crashes complete the three.
-    book.record_crash(tag(6), [content("a")], at(3_000));
-    expect_false!(is_refused(&book, "a", 3_000));
-    book.record_crash(tag(7), [content("a")], at(4_000));
-    expect_true!(is_refused(&book, "a", 4_000));
+    tracker.record_crash(tag(6), [content("a")], at(3_000));
+    expect_false!(is_refused(&tracker, "a", 3_000));
+    tracker.record_crash(tag(7), [content("a")], at(4_000));
+    expect_true!(is_refused(&tracker, "a", 4_000));
 }
 
 #[gtest]
 fn an_answered_request_is_not_refused() {
-    let mut book = book_of(&[(1, 1_000, &["a"]), (2, 2_000, &["a"])]);
-    book.record_answer(content("a"), at(2_500));
+    let mut tracker = tracker_of(&[(1, 1_000, &["a"]), (2, 2_000, &["a"])]);
+    tracker.record_answer(content("a"), at(2_500));
     for number in 3..9 {
         let ms = u64::from(number) * 1_000;
-        book.record_crash(tag(number), [content("a")], at(ms));
-        expect_false!(is_refused(&book, "a", ms));
+        tracker.record_crash(tag(number), [content("a")], at(ms));
+        expect_false!(is_refused(&tracker, "a", ms));
     }
 }
 
@@ -146,15 +148,18 @@
 /// starts after all others stopped learns of it from the store.
 #[gtest]
 fn reports_of_others_and_store_records_count() {
-    let book =
-        book_of(&[(1, 1_000, &["p"]), (2, 2_000, &["p"]), (3, 3_000, &["p"])]);
+    let tracker = tracker_of(&[
+        (1, 1_000, &["p"]),
+        (2, 2_000, &["p"]),
+        (3, 3_000, &["p"]),
+    ]);
     // The clock of this instance started much later.
-    let mut other = CrashBook::new(RETENTION_MS);
-    other.receive(&book.reports(at(200_000)), at(5));
+    let mut other = CrashTracker::new(RETENTION_MS);
+    other.receive(&tracker.reports(at(200_000)), at(5));
     let left = other.refused_ms(&content("p"), at(5));
     // The first of the three crashes, at 1 s, expires after 600 s.
     expect_that!(left, some(eq(401_000)));
-    let mut later = CrashBook::new(RETENTION_MS);
+    let mut later = CrashTracker::new(RETENTION_MS);
     let report = RefusedReport { content: content("p"), left_ms: 100_000 };
     later.receive_recorded(vec![report], at(7));
     expect_that!(later.refused_ms(&content("p"), at(7)), some(eq(100_000)));
@@ -172,25 +177,31 @@
 
 #[gtest]
 fn a_refusal_ends_when_its_crashes_expire() {
-    let mut book =
-        book_of(&[(1, 1_000, &["p"]), (2, 2_000, &["p"]), (3, 3_000, &["p"])]);
-    expect_true!(is_refused(&book, "p", 600_999));
-    expect_false!(is_refused(&book, "p", 601_000));
-    book.prune(at(601_000));
-    expect_false!(is_refused(&book, "p", 601_001));
+    let mut tracker = tracker_of(&[
+        (1, 1_000, &["p"]),
+        (2, 2_000, &["p"]),
+        (3, 3_000, &["p"]),
+    ]);
+    expect_true!(is_refused(&tracker, "p", 600_999));
+    expect_false!(is_refused(&tracker, "p", 601_000));
+    tracker.prune(at(601_000));
+    expect_false!(is_refused(&tracker, "p", 601_001));
     // The two later crashes have not expired.
-    book.record_crash(tag(4), [content("p")], at(601_500));
-    expect_true!(is_refused(&book, "p", 601_500));
+    tracker.record_crash(tag(4), [content("p")], at(601_500));
+    expect_true!(is_refused(&tracker, "p", 601_500));
 }
 
 /// Guards against expired records that come back for ever from instances that
 /// received them later.
 #[gtest]
 fn exchanged_reports_expire_everywhere() {
-    let mut one =
-        book_of(&[(1, 1_000, &["p"]), (2, 1_500, &["p"]), (3, 2_000, &["p"])]);
+    let mut one = tracker_of(&[
+        (1, 1_000, &["p"]),
+        (2, 1_500, &["p"]),
+        (3, 2_000, &["p"]),
+    ]);
     one.record_answer(content("q"), at(2_000));
-    let mut other = CrashBook::new(RETENTION_MS);
+    let mut other = CrashTracker::new(RETENTION_MS);
     let mut now = 2_000;
     while now < 3 * RETENTION_MS {
         other.receive(&one.reports(at(now)), at(now + 900));
@@ -205,24 +216,28 @@
 }
 
 #[gtest]
-fn the_size_of_a_book_is_bounded() {
-    let mut book = CrashBook::new(RETENTION_MS);
+fn the_size_of_a_tracker_is_bounded() {
+    let mut tracker = CrashTracker::new(RETENTION_MS);
     for number in 0..3 {
         let ms = 1_000 + u64::from(number) * 200;
-        book.record_crash(tag(number), [content("p")], at(ms));
+        tracker.record_crash(tag(number), [content("p")], at(ms));
     }
     for number in 10..400 {
         let in_flight = (0..40).map(|one| content(&format!("{number} {one}")));
-        book.record_crash(tag(number), in_flight, at(u64::from(number) * 200));
+        tracker.record_crash(
+            tag(number),
+            in_flight,
+            at(u64::from(number) * 200),
+        );
     }
-    let reports = book.reports(at(400_000));
+    let reports = tracker.reports(at(400_000));
     let in_flight: usize =
         reports.crashes.iter().map(|one| one.in_flight.len()).sum();
     expect_that!(in_flight, le(4_096));
     expect_that!(reports.crashes.len(), le(512));
     // The newest crashes are kept, and those that explain a refusal.
-    expect_true!(is_refused(&book, "p", 400_000));
-    expect_true!(book.has_crashed(tag(399)));
+    expect_true!(is_refused(&tracker, "p", 400_000));
+    expect_true!(tracker.has_crashed(tag(399)));
 }
 
 /// A crash as it happened, caused by `culprit` in the test.
@@ -282,7 +297,7 @@
     ) {
         let culprit = content("p");
         let name = |number: u8| content(&format!("beside {number}"));
-        let mut books = vec![CrashBook::new(RETENTION_MS); INSTANCES];
+        let mut trackers = vec![CrashTracker::new(RETENTION_MS); INSTANCES];
         let mut now = 10_000;
         let mut delayed: Vec<(u64, usize, CrashReports)> = Vec::new();
         let mut sent = sent.into_iter();
@@ -292,35 +307,35 @@
             for (one, own) in &crash.detected_by {
                 let own: Vec<_> = own.iter().map(|n| name(*n)).collect();
                 if !own.is_empty() {
-                    books[*one].record_crash(tag(number), own, at(now));
+                    trackers[*one].record_crash(tag(number), own, at(now));
                 }
             }
             let detector = detector.index(INSTANCES);
-            books[detector].record_crash(tag(number), [culprit], at(now));
+            trackers[detector].record_crash(tag(number), [culprit], at(now));
             let next: Vec<Sent> = sent.by_ref().take(3).collect();
             for (from, to, delay) in next {
-                let reports = books[from].reports(at(now));
+                let reports = trackers[from].reports(at(now));
                 if let Some(delay) = delay {
                     delayed.push((now + delay, to, reports));
                 }
             }
         }
         for (when, to, reports) in delayed.iter().chain(&delayed) {
-            books[*to].receive(reports, at(now.max(*when)));
+            trackers[*to].receive(reports, at(now.max(*when)));
         }
         now += 6_000;
         // Some instance answers each harmless request in the end.
         for crash in &crashes {
             for number in &crash.beside {
                 let by = usize::from(*number) % INSTANCES;
-                books[by].record_answer(name(*number), at(now));
+                trackers[by].record_answer(name(*number), at(now));
             }
         }
         for _ in 0..2 {
             for from in 0..INSTANCES {
-                let reports = books[from].reports(at(now));
-                for book in &mut books {
-                    book.receive(&reports, at(now + 50));
+                let reports = trackers[from].reports(at(now));
+                for tracker in &mut trackers {
+                    tracker.receive(&reports, at(now + 50));
                 }
             }
             // An answer is recorded only by an instance that knows the
@@ -328,18 +343,19 @@
             for crash in &crashes {
                 for number in &crash.beside {
                     let by = usize::from(*number) % INSTANCES;
-                    books[by].record_answer(name(*number), at(now));
+                    trackers[by].record_answer(name(*number), at(now));
                 }
             }
         }
-        let digest = books[0].digest(at(now + 60));
-        for book in &books {
-            prop_assert_eq!(book.digest(at(now + 60)), digest);
-            let left = book.refused_ms(&culprit, at(now + 60));
+        let digest = trackers[0].digest(at(now + 60));
+        for tracker in &trackers {
+            prop_assert_eq!(tracker.digest(at(now + 60)), digest);
+            let left = tracker.refused_ms(&culprit, at(now + 60));
             prop_assert!(left.is_some());
             for crash in &crashes {
                 for number in &crash.beside {
-                    let left = book.refused_ms(&name(*number), at(now + 60));
+                    let left =
+                        tracker.refused_ms(&name(*number), at(now + 60));
                     prop_assert_eq!(left, None);
                 }
             }
@@ -358,11 +374,11 @@
         number in any::<u32>(),
         now in 0..u64::MAX / 4,
     ) {
-        let mut book = CrashBook::new(RETENTION_MS);
+        let mut tracker = CrashTracker::new(RETENTION_MS);
         let report = RefusedReport { content: content("p"), left_ms };
-        book.receive_recorded(vec![report], at(now));
-        book.record_crash(tag(number), [], at(now));
-        let left = book.refused_ms(&content("p"), at(now));
+        tracker.receive_recorded(vec![report], at(now));
+        tracker.record_crash(tag(number), [], at(now));
+        let left = tracker.refused_ms(&content("p"), at(now));
         prop_assert!(left.unwrap_or(0) <= RETENTION_MS);
     }
 }
--- a/crates/valehold-core/src/fleet/tests/usage.rs
+++ b/crates/valehold-core/src/fleet/tests/usage.rs
@@ -13,7 +13,7 @@
         RegionBound,
         usage::{
             Fraction, LimitSettings, Presence, ReportScope, SlidingSum,
-            Throttle, Throttles, UsageBook, UsageMeter, UsageTotal,
+            Throttle, Throttles, UsageAggregator, UsageMeter, UsageTotal,
         },
         workspace::{UsageLimit, UsageUnit, Workspace, Workspaces},
     },
@@ -53,7 +53,8 @@
     all
 }
 
-/// Returns a pseudo-random number from 0 to 1, the same for the same arguments.
+/// Returns a pseudo-random number from 0 to 1, the same for the same
+/// arguments.
 fn draw(seed: u64, number: u64) -> f64 {
     let hash =
         xxhash_rust::xxh3::xxh3_64_with_seed(&number.to_le_bytes(), seed);
@@ -73,7 +74,7 @@
 struct Fleet {
     limit: UsageLimit,
     meters: Vec<UsageMeter>,
-    books: Vec<UsageBook>,
+    aggregators: Vec<UsageAggregator>,
     presences: Vec<Presence<usize>>,
     /// The group of each gateway. The hub of a group is its gateway with the
     /// lowest number.
@@ -95,8 +96,8 @@
         let mut fleet = Self {
             limit,
             meters: (0..gateways).map(|_| UsageMeter::new(SETTINGS)).collect(),
-            books: (0..gateways)
-                .map(|_| UsageBook::new(SETTINGS, now))
+            aggregators: (0..gateways)
+                .map(|_| UsageAggregator::new(SETTINGS, now))
                 .collect(),
             presences: (0..gateways).map(|_| Presence::new(400)).collect(),
             groups: vec![0; gateways],
@@ -137,7 +138,7 @@
     }
 
     /// Partitions the network into groups and drops all messages in transit.
-    fn cut(&mut self, groups: Vec<usize>) {
+    fn partition(&mut self, groups: Vec<usize>) {
         self.groups = groups;
         self.in_transit.clear();
     }
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Advances the time while requests of one cost arrive at random gateways, at
-    /// `requested_rate` of the limit's unit per second.
+    /// Advances the time while requests of one cost arrive at random gateways,
+    /// at `requested_rate` of the limit's unit per second.
     fn run(&mut self, for_ms: u64, requested_rate: f64, cost: f64) {
         let until = self.now + for_ms;
         #[allow(clippy::cast_precision_loss)]
@@ -202,15 +203,15 @@
                 continue;
             }
             let share = self.presences[hub].share(self.now);
-            let book = &mut self.books[hub];
-            book.advance(&workspaces, share, self.now);
+            let aggregator = &mut self.aggregators[hub];
+            aggregator.advance(&workspaces, share, self.now);
             let throttles = Throttles {
                 seen: 0,
                 present: u32::try_from(group.len()).unwrap(),
-                workspaces: book.throttles(&workspaces, share, self.now),
+                workspaces: aggregator.throttles(&workspaces, share, self.now),
             };
             if !self.presences[hub].may_throttle()
-                || book.is_catching_up(self.now)
+                || aggregator.is_catching_up(self.now)
             {
                 continue;
             }
@@ -232,8 +233,8 @@
                 Message::Totals { from, totals } => {
                     let hub = self.group_of(from)[0];
                     let id = InstanceId::new(format!("g{from}"));
-                    let book = &mut self.books[hub];
-                    book.receive(
+                    let aggregator = &mut self.aggregators[hub];
+                    aggregator.receive(
                         &id,
                         1,
                         &totals,
@@ -319,9 +320,9 @@
         for groups in [&all_isolated, &halves, &some_isolated] {
             let mut fleet = Fleet::new(60, limit(rate), 13);
             fleet.run(10_000, rate * USUAL, LONG);
-            fleet.cut(groups.clone());
+            fleet.partition(groups.clone());
             fleet.run(12_000, rate * USUAL * 6.0, LONG);
-            fleet.cut(vec![0; 60]);
+            fleet.partition(vec![0; 60]);
             fleet.run(10_000, rate * USUAL * 6.0, LONG);
             let allowed = fleet.allowed();
             expect_that!(fleet.max_in_window, lt(allowed), "{rate}");
@@ -339,7 +340,7 @@
             let mut fleet = Fleet::new(60, limit(rate), seed);
             fleet.run(10_000, rate * USUAL, LONG);
             (fleet.requested, fleet.rejected) = (0.0, 0.0);
-            fleet.cut((0..60).collect());
+            fleet.partition((0..60).collect());
             fleet.run(12_000, rate * USUAL, LONG);
             fleet.rejected_fraction()
         });
@@ -411,7 +412,8 @@
             1..8,
         ),
     ) {
-        // A burst covers at least four requests; the users' bursts cover seven.
+        // A burst covers at least four requests; the users' bursts cover
+        // seven.
         let cost = cost.min(rate / 4.0);
         let mut fleet = Fleet::new(12, limit(rate), seed);
         fleet.run(3_000, rate * USUAL, cost);
@@ -421,7 +423,7 @@
                 2 => (0..12).collect(),
                 _ => (0..12).map(|gateway| gateway % 3).collect(),
             };
-            fleet.cut(groups);
+            fleet.partition(groups);
             fleet.run(for_ms, rate * times, cost);
             let allowed = fleet.allowed();
             prop_assert!(
@@ -431,8 +433,8 @@
         }
     }
 
-    /// A sliding sum is never below the exact sum, and covers at most an eighth
-    /// of a window more.
+    /// A sliding sum is never below the exact sum, and covers at most an
+    /// eighth of a window more.
     #[test]
     fn a_sliding_sum_drops_nothing_too_early(
         adds in prop::collection::vec((0_u64..900, 0.0..50.0_f64), 1..80),
@@ -444,8 +446,8 @@
             now = now + after_ms;
             sum.add(amount, now);
             all.push((now, amount));
-            let recent = all.iter().filter(|(at, _)| now.since(*at) < WINDOW_MS);
-            let exact: f64 = recent.map(|(_, amount)| amount).sum();
+            let newer = all.iter().filter(|(at, _)| now.since(*at) < WINDOW_MS);
+            let exact: f64 = newer.map(|(_, amount)| amount).sum();
             let older = all.iter().filter(|(at, _)| {
                 now.since(*at) < WINDOW_MS + WINDOW_MS / 8
             });
@@ -481,7 +483,7 @@
     let name = WorkspaceId::new("north");
     let limit = limit(100_000.0);
     let all = workspaces(limit);
-    let mut book = UsageBook::new(SETTINGS, Millis::new(0));
+    let mut aggregator = UsageAggregator::new(SETTINGS, Millis::new(0));
     let id = InstanceId::new("g1");
     let total = |used| UsageTotal {
         workspace: name.tag(),
@@ -489,18 +491,24 @@
         requested: used,
         used_in_window: 1_000,
     };
-    book.receive(&id, 1, &[total(1_000)], ReportScope::Member, Millis::new(0));
+    aggregator.receive(
+        &id,
+        1,
+        &[total(1_000)],
+        ReportScope::Member,
+        Millis::new(0),
+    );
     let back = Millis::new(9_000);
     for at in (150..=9_000).step_by(150) {
-        book.advance(&all, 1.0, Millis::new(at));
+        aggregator.advance(&all, 1.0, Millis::new(at));
     }
-    book.receive(&id, 1, &[total(900_000)], ReportScope::Member, back);
-    book.advance(&all, 1.0, back + 150);
-    expect_that!(book.throttles(&all, 1.0, back + 150), is_empty());
+    aggregator.receive(&id, 1, &[total(900_000)], ReportScope::Member, back);
+    aggregator.advance(&all, 1.0, back + 150);
+    expect_that!(aggregator.throttles(&all, 1.0, back + 150), is_empty());
 }
 
-/// On the test bench, a hub that was frozen for 7 s computed throttles from the
-/// reports of the few gateways that had reached it again, and a thousand
+/// On the test bench, a hub that was frozen for 7 s computed throttles from
+/// the reports of the few gateways that had reached it again, and a thousand
 /// requests of all workspaces were rejected.
 #[gtest]
 fn throttles_that_cover_far_fewer_gateways_are_ignored() {
@@ -531,36 +539,36 @@
 
 /// A gateway reports only workspaces that are in use. On the test bench, a hub
 /// that was frozen received the totals of some workspaces a while after the
-/// first report of their gateway, and counted all use since the gateway started
-/// as new.
+/// first report of their gateway, and counted all use since the gateway
+/// started as new.
 #[gtest]
 fn use_before_the_first_report_of_a_workspace_is_not_new() {
     let name = WorkspaceId::new("north");
     let limit = limit(100_000.0);
     let all = workspaces(limit);
-    let mut book = UsageBook::new(SETTINGS, Millis::new(0));
+    let mut aggregator = UsageAggregator::new(SETTINGS, Millis::new(0));
     let id = InstanceId::new("g1");
     let now = Millis::new(500);
-    book.receive(&id, 1, &[], ReportScope::Member, now);
+    aggregator.receive(&id, 1, &[], ReportScope::Member, now);
     let total = UsageTotal {
         workspace: name.tag(),
         used: 2_000_000,
         requested: 2_000_000,
         used_in_window: 10_000,
     };
-    book.receive(&id, 1, &[total], ReportScope::Member, now + 150);
-    book.advance(&all, 1.0, now + 200);
-    expect_that!(book.throttles(&all, 1.0, now + 200), is_empty());
+    aggregator.receive(&id, 1, &[total], ReportScope::Member, now + 150);
+    aggregator.advance(&all, 1.0, now + 200);
+    expect_that!(aggregator.throttles(&all, 1.0, now + 200), is_empty());
 }
 
-/// On the test bench, a hub that was frozen read all reports that had queued up
-/// at once, and rejected nearly all requests for four seconds.
+/// On the test bench, a hub that was frozen read all reports that had queued
+/// up at once, and rejected nearly all requests for four seconds.
 #[gtest]
 fn reports_queued_during_a_freeze_do_not_count_as_a_flood() {
     let name = WorkspaceId::new("north");
     let limit = limit(100_000.0);
     let all = workspaces(limit);
-    let mut book = UsageBook::new(SETTINGS, Millis::new(0));
+    let mut aggregator = UsageAggregator::new(SETTINGS, Millis::new(0));
     let id = InstanceId::new("g1");
     let total = |seconds: u64| UsageTotal {
         workspace: name.tag(),
@@ -569,18 +577,24 @@
         used_in_window: seconds.min(8) * 56_000,
     };
     let now = Millis::new(20_000);
-    book.receive(&id, 1, &[total(12)], ReportScope::Member, now);
-    book.advance(&all, 1.0, now);
+    aggregator.receive(&id, 1, &[total(12)], ReportScope::Member, now);
+    aggregator.advance(&all, 1.0, now);
     for seconds in 13..20 {
-        book.receive(&id, 1, &[total(seconds)], ReportScope::Member, now + 20);
+        aggregator.receive(
+            &id,
+            1,
+            &[total(seconds)],
+            ReportScope::Member,
+            now + 20,
+        );
     }
     let now = now + 500;
     let rejected: Vec<f64> = (0..20)
         .map(|step| {
             let now = now + step * 150;
-            book.receive(&id, 1, &[total(20)], ReportScope::Member, now);
-            book.advance(&all, 1.0, now);
-            let throttles = book.throttles(&all, 1.0, now);
+            aggregator.receive(&id, 1, &[total(20)], ReportScope::Member, now);
+            aggregator.advance(&all, 1.0, now);
+            let throttles = aggregator.throttles(&all, 1.0, now);
             1.0 - throttles.first().map_or(1.0, |one| one.admitted.get())
         })
         .collect();
--- a/crates/valehold-core/src/fleet/tests/weight_loads.rs
+++ b/crates/valehold-core/src/fleet/tests/weight_loads.rs
@@ -181,9 +181,9 @@
 struct SimulatedOrder {
     /// The time from planning until the outcome is known, in ms.
     outcome_after_ms: u64,
-    /// When the load starts: for an accepted order, as a fraction of that time;
-    /// for an unanswered one, as a fraction of the maximum delay.
-    starts: f64,
+    /// When the load starts: for an accepted order, as a fraction of that
+    /// time; for an unanswered one, as a fraction of the maximum delay.
+    start_fraction: f64,
     outcome: SimulatedOutcome,
 }
 
@@ -204,9 +204,9 @@
     // Mostly short, sometimes long after a machine was frozen.
     let outcome_after_ms = prop_oneof![4 => 1_u64..50, 1 => 50_u64..7_000];
     (outcome_after_ms, 0.0..1.0, outcomes).prop_map(
-        |(outcome_after_ms, starts, outcome)| SimulatedOrder {
+        |(outcome_after_ms, start_fraction, outcome)| SimulatedOrder {
             outcome_after_ms,
-            starts,
+            start_fraction,
             outcome,
         },
     )
@@ -219,8 +219,8 @@
     after_ms: u64,
     /// The maximum number of loads to plan.
     wanted: usize,
-    /// Whether another holder takes over the lease. It knows by when all orders
-    /// of the previous holder have arrived.
+    /// Whether another holder takes over the lease. It knows by when all
+    /// orders of the previous holder have arrived.
     takes_over: bool,
 }
 
@@ -257,7 +257,8 @@
         self.engines += 1;
         self.loads.plan(position.clone());
         let outcome_at = now + order.outcome_after_ms;
-        let fraction_of = |span: u64| (span as f64 * order.starts) as u64;
+        let fraction_of =
+            |span: u64| (span as f64 * order.start_fraction) as u64;
         let outcome = match order.outcome {
             SimulatedOutcome::Accepted => {
                 self.started.push(now + fraction_of(order.outcome_after_ms));
@@ -282,8 +283,8 @@
         }
     }
 
-    /// Makes another holder take over once the outcomes of all orders are known,
-    /// with the number of unanswered orders, and returns the time.
+    /// Makes another holder take over once the outcomes of all orders are
+    /// known, with the number of unanswered orders, and returns the time.
     fn take_over(&mut self, now: u64) -> u64 {
         let outcome_at = self.in_flight.iter().map(|order| order.outcome_at);
         let until = outcome_at.max().unwrap_or(0).max(now);
--- a/crates/valehold-core/src/fleet/usage/book.rs
+++ b/crates/valehold-core/src/fleet/usage/aggregator.rs
@@ -26,16 +26,16 @@
 const NEAR_LIMIT: f64 = 0.8;
 
 /// The maximum time from a request at one gateway until the throttles at all
-/// gateways reflect it, in ms, if no datagram is lost: two reporting intervals,
-/// and the delay of a busy hub.
+/// gateways reflect it, in ms, if no datagram is lost: two reporting
+/// intervals, and the delay of a busy hub.
 const LAG_MS: f64 = 400.0;
 
 /// The time within which throttles bring the remaining allowance back to its
 /// target, in ms.
 const RESTORE_MS: f64 = 1_000.0;
 
-/// How long a book must not have advanced for its process to count as frozen,
-/// in ms.
+/// How long an aggregator must not have advanced for its process to count as
+/// frozen, in ms.
 const FROZEN_MS: u64 = 1_000;
 
 /// How long after a freeze the reports that queued up meanwhile arrive, in ms.
@@ -44,8 +44,8 @@
 /// The fraction of the peak allowance that throttles keep in reserve.
 const RESERVED_FRACTION: f64 = 0.1;
 
-/// The fraction of its budget from which a workspace has a throttle even if all
-/// requests are admitted, so that gateways know its use if throttles stop.
+/// The fraction of its budget from which a workspace has a throttle even if
+/// all requests are admitted, so that gateways know its use if throttles stop.
 const THROTTLED_FROM: f64 = 0.25;
 
 /// A workspace of which less than this fraction is admitted has a throttle.
@@ -75,7 +75,7 @@
     newly_requested: f64,
     /// The admitted cost at all gateways.
     window: SlidingSum,
-    /// The admitted cost at the gateways of this book's group.
+    /// The admitted cost at the gateways of this aggregator's group.
     group_window: SlidingSum,
     /// The group's total of admitted cost.
     used: f64,
@@ -87,28 +87,28 @@
 
 /// Adds up the usage totals of gateways and computes throttles from the sums.
 #[derive(Debug, Clone)]
-pub struct UsageBook {
+pub struct UsageAggregator {
     settings: LimitSettings,
     reporters: BTreeMap<InstanceId, Reporter>,
     accounts: BTreeMap<WorkspaceTag, Account>,
     /// The time to which the accounts have advanced.
     advanced: Millis,
-    /// Until when reports are ignored after the process was frozen. They queued
-    /// up meanwhile and would count seconds of use at once.
+    /// Until when reports are ignored after the process was frozen. They
+    /// queued up meanwhile and would count seconds of use at once.
     catch_up_until: Millis,
 }
 
 /// The gateways whose use a report states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportScope {
-    /// One gateway of this book's group.
+    /// One gateway of this aggregator's group.
     Member,
     /// The sums over another group.
     OtherGroup,
 }
 
-impl UsageBook {
-    /// Creates an empty book.
+impl UsageAggregator {
+    /// Creates an empty aggregator.
     pub fn new(settings: LimitSettings, now: Millis) -> Self {
         Self {
             settings,
@@ -122,8 +122,8 @@
     /// Receives a report of totals. `start` differs for each start of the
     /// reporter.
     ///
-    /// Earlier use of a reporter that is new, or was silent, counts only as use
-    /// in the last window: it kept to its own share of each limit.
+    /// Earlier use of a reporter that is new, or was silent, counts only as
+    /// use in the last window: it kept to its own share of each limit.
     pub fn receive(
         &mut self,
         reporter: &InstanceId,
@@ -169,8 +169,8 @@
         now: Millis,
     ) {
         // A workspace that is new in this reporter's totals may have been used
-        // long before this book received them, unless all of its use is in the
-        // window.
+        // long before this aggregator received them, unless all of its use is
+        // in the window.
         let is_first = before.is_none();
         if is_first && total.used != total.used_in_window {
             self.add_in_window(total, scope, now);
@@ -240,13 +240,13 @@
     }
 
     /// Returns whether reports are being ignored after the process was frozen,
-    /// so that the book knows too little to compute throttles.
+    /// so that the aggregator knows too little to compute throttles.
     pub fn is_catching_up(&self, now: Millis) -> bool {
         now < self.catch_up_until
     }
 
-    /// Advances the book to `now`. `share` is the fraction of each limit that the
-    /// gateways which report to this book may use.
+    /// Advances all accounts to `now`. `share` is the fraction of each limit
+    /// that the gateways which report to this aggregator may use.
     pub fn advance(
         &mut self,
         workspaces: &Workspaces,
@@ -302,8 +302,8 @@
         throttles
     }
 
-    /// Returns the totals of this book's own group that changed within the last
-    /// `within_ms`.
+    /// Returns the totals of this aggregator's own group that changed within
+    /// the last `within_ms`.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn changed_group_totals(
         &mut self,
--- a/crates/valehold-core/src/fleet/usage/meter.rs
+++ b/crates/valehold-core/src/fleet/usage/meter.rs
@@ -36,8 +36,8 @@
 /// The minimum time after which a caller is told to retry, in ms.
 const MIN_RETRY_MS: u64 = 500;
 
-/// The time after which a caller is told to retry, in ms, for each request that
-/// arrives per admitted one: if one of ten is admitted, ten times this.
+/// The time after which a caller is told to retry, in ms, for each request
+/// that arrives per admitted one: if one of ten is admitted, ten times this.
 const RETRY_PER_REQUEST_MS: f64 = 1_000.0;
 
 /// The error of a request whose workspace has used up its limit.
@@ -79,9 +79,9 @@
     /// The fraction of the next request's cost that must remain for it to be
     /// admitted without throttles.
     ///
-    /// A request is admitted as a whole or not at all, and a gateway's share of
-    /// a limit may be less than its cost. With random thresholds, as many of
-    /// all gateways admit a request as their shares together allow.
+    /// A request is admitted as a whole or not at all, and a gateway's share
+    /// of a limit may be less than its cost. With random thresholds, as many
+    /// of all gateways admit a request as their shares together allow.
     threshold: f64,
 }
 
@@ -106,11 +106,12 @@
         self.own_share = own_share;
     }
 
-    /// Applies throttles, unless recent throttles of another hub cover far more
-    /// gateways.
+    /// Applies throttles, unless recent throttles of another hub cover far
+    /// more gateways.
     ///
-    /// A hub that was paused or cut off for a while computes its first throttles
-    /// from the reports of the few gateways that have reached it again.
+    /// A hub that was paused or cut off for a while computes its first
+    /// throttles from the reports of the few gateways that have reached it
+    /// again.
     pub fn apply(&mut self, throttles: &Throttles, now: Millis) {
         let covers_fewer = f64::from(throttles.present)
             < f64::from(self.covered) * MIN_PRESENT_FRACTION;
@@ -131,8 +132,8 @@
         self.received = Some(now);
     }
 
-    /// Admits or rejects a request that costs `cost` of the limit's unit. `draw`
-    /// is a random number from 0 to 1.
+    /// Admits or rejects a request that costs `cost` of the limit's unit.
+    /// `draw` is a random number from 0 to 1.
     ///
     /// # Errors
     ///
@@ -196,8 +197,8 @@
         totals.collect()
     }
 
-    /// Returns the use of a workspace. If there is none yet, `draw` becomes the
-    /// first threshold.
+    /// Returns the use of a workspace. If there is none yet, `draw` becomes
+    /// the first threshold.
     fn usage_mut(
         &mut self,
         tag: WorkspaceTag,
--- a/crates/valehold-core/src/fleet/usage/mod.rs
+++ b/crates/valehold-core/src/fleet/usage/mod.rs
@@ -1,20 +1,22 @@
-//! Distributed rate limiting: the usage limits of workspaces, over all gateways.
+//! Distributed rate limiting: the usage limits of workspaces, over all
+//! gateways.
 //!
 //! A limit holds for the sum over all gateways, but a request must not wait
-//! until the gateways agree. So each gateway counts the requests that it admits
-//! ([`UsageMeter`]) and reports its totals a few times a second. The gateways
-//! that receive all reports, the hubs, add the totals up ([`UsageBook`]) and
-//! compute which fraction of a workspace's requests to admit ([`Throttle`]). A
-//! gateway with recent throttles admits each request with that probability. A
-//! gateway without them may use an equal share of each limit ([`Presence`]), so
-//! that gateways which cannot reach one another never exceed the limit
-//! together.
+//! until the gateways agree. So each gateway counts the requests that it
+//! admits ([`UsageMeter`]) and reports its totals a few times a second. The
+//! gateways that receive all reports, the hubs, add the totals up
+//! ([`UsageAggregator`]) and compute which fraction of a workspace's requests
+//! to admit ([`Throttle`]). A gateway with recent throttles admits each
+//! request with that probability. A gateway without them may use an equal
+//! share of each limit ([`Presence`]), so that gateways which cannot reach one
+//! another never exceed the limit together.
 //!
-//! A limit holds over a sliding window: the use in any window is bounded by the
-//! rate times the window's length, plus the burst. So the burst is available
-//! again in each window, and throttles aim at the rate that uses both up evenly.
+//! A limit holds over a sliding window: the use in any window is bounded by
+//! the rate times the window's length, plus the burst. So the burst is
+//! available again in each window, and throttles aim at the rate that uses
+//! both up evenly.
 
-mod book;
+mod aggregator;
 mod meter;
 mod presence;
 mod sliding;
@@ -22,7 +24,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use self::{
-    book::{ReportScope, UsageBook},
+    aggregator::{ReportScope, UsageAggregator},
     meter::{LimitReached, UsageMeter},
     presence::Presence,
     sliding::SlidingSum,
@@ -37,14 +39,14 @@
 pub struct LimitSettings {
     /// The length of the sliding window, in seconds.
     pub window_s: f64,
-    /// The fraction of a window's budget by which the sum over all gateways may
-    /// exceed the budget.
+    /// The fraction of a window's budget by which the sum over all gateways
+    /// may exceed the budget.
     pub overshoot: f64,
     /// The amount, in the limit's unit, by which the sum may exceed the budget
     /// in addition to `overshoot`.
     pub slack: f64,
-    /// The number of gateways among which a gateway divides each limit until it
-    /// has received a report from another one, if there are others.
+    /// The number of gateways among which a gateway divides each limit until
+    /// it has received a report from another one, if there are others.
     pub instances: u32,
 }
 
@@ -116,8 +118,8 @@
     pub workspace: WorkspaceTag,
     /// The cost of all admitted requests, in the limit's unit.
     pub used: u64,
-    /// The cost of all requests, admitted or not, except for requests that were
-    /// admitted but did not run.
+    /// The cost of all requests, admitted or not, except for requests that
+    /// were admitted but did not run.
     pub requested: u64,
     /// The cost of the requests admitted in the last window.
     pub used_in_window: u64,
@@ -162,8 +164,8 @@
 pub struct Throttles {
     /// The number of gateways that the hub has seen recently.
     pub seen: u32,
-    /// The number of gateways that the hub receives reports from, and for which
-    /// the throttles hold.
+    /// The number of gateways that the hub receives reports from, and for
+    /// which the throttles hold.
     pub present: u32,
     /// The throttle of each workspace that is near its limit or uses much of
     /// its budget.
--- a/crates/valehold-core/src/fleet/usage/presence.rs
+++ b/crates/valehold-core/src/fleet/usage/presence.rs
@@ -14,9 +14,9 @@
 /// majority of gateways.
 const GONE_AFTER_MS: u64 = 60_000;
 
-/// How long gateways that reach at most half of all may use their share, in ms.
-/// They stop well before the majority counts them as gone and divides their
-/// share among itself.
+/// How long gateways that reach at most half of all may use their share, in
+/// ms. They stop well before the majority counts them as gone and divides
+/// their share among itself.
 const MINORITY_ACTIVE_MS: u64 = 45_000;
 
 /// One in this many of all gateways must be present for a hub to throttle.
@@ -51,9 +51,10 @@
 
     /// Updates the presence of all gateways.
     ///
-    /// `present` are the gateways that are present now, including this one, and
-    /// `left` those that announced that they leave, which are no longer
-    /// counted. `reported` is the number of recent gateways that others report.
+    /// `present` are the gateways that are present now, including this one,
+    /// and `left` those that announced that they leave, which are no longer
+    /// counted. `reported` is the number of recent gateways that others
+    /// report.
     pub fn update(
         &mut self,
         present: impl IntoIterator<Item = K>,
--- a/crates/valehold-core/src/fleet/usage/sliding.rs
+++ b/crates/valehold-core/src/fleet/usage/sliding.rs
@@ -2,8 +2,8 @@
 
 use crate::time::Millis;
 
-/// Number of slots in a window. Amounts leave the window a slot at a time, so a
-/// sum is never too small, and covers up to one slot more than the window.
+/// Number of slots in a window. Amounts leave the window a slot at a time, so
+/// a sum is never too small, and covers up to one slot more than the window.
 const SLOTS: usize = 16;
 
 /// A sum of the amounts added in the last `span_ms`.
@@ -36,7 +36,8 @@
     }
 
     /// Returns the time until the sum has fallen by an amount if nothing is
-    /// added, in ms. If the sum is less than the amount, that is a whole window.
+    /// added, in ms. If the sum is less than the amount, that is a whole
+    /// window.
     pub fn ms_until_freed(&mut self, amount: f64, now: Millis) -> u64 {
         self.advance(now);
         let slots = self.slots.len() as u64;
--- a/crates/valehold-core/src/fleet/weight_loads.rs
+++ b/crates/valehold-core/src/fleet/weight_loads.rs
@@ -19,9 +19,9 @@
 use super::identity::UpstreamStart;
 use crate::time::Millis;
 
-/// The length of a burst as a fraction of a window. At most the same fraction of
-/// a window's loads starts in a burst, so that a new holder of the lease need
-/// not wait for a whole window.
+/// The length of a burst as a fraction of a window. At most the same fraction
+/// of a window's loads starts in a burst, so that a new holder of the lease
+/// need not wait for a whole window.
 const BURST_FRACTION: f64 = 0.4;
 
 /// How long an unanswered order may still be executed, in ms.
@@ -63,7 +63,8 @@
 
 /// A position in the sequence of orders that one start of an engine accepts.
 ///
-/// The engine executes a single order for each position, however many are sent.
+/// The engine executes a single order for each position, however many are
+/// sent.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderPosition {
     /// The start of the engine.
@@ -79,8 +80,8 @@
     Started,
     /// The order was not sent, or the engine rejected it.
     NotStarted,
-    /// The order was not answered: the engine may have executed it, or may still
-    /// execute it.
+    /// The order was not answered: the engine may have executed it, or may
+    /// still execute it.
     Unknown,
 }
 
@@ -113,8 +114,8 @@
 }
 
 impl PendingLoad {
-    /// Returns whether the order arrived within the last `span_ms`, provided that
-    /// it was not delayed.
+    /// Returns whether the order arrived within the last `span_ms`, provided
+    /// that it was not delayed.
     fn is_within(&self, span_ms: u64, now: Millis) -> bool {
         let is_recent = |lost| now.since(lost) <= span_ms;
         self.in_flight || self.lost.is_some_and(is_recent)
@@ -176,14 +177,14 @@
         }
     }
 
-    /// Discards the load at a position: the engine accepted another order for the
-    /// position, which is not a load from the weight store.
+    /// Discards the load at a position: the engine accepted another order for
+    /// the position, which is not a load from the weight store.
     pub fn discard(&mut self, position: &OrderPosition) {
         self.pending.remove(position);
     }
 
-    /// Records the number of orders that an engine has accepted. Loads at earlier
-    /// positions have started, or never will.
+    /// Records the number of orders that an engine has accepted. Loads at
+    /// earlier positions have started, or never will.
     pub fn record_accepted(
         &mut self,
         start: &UpstreamStart,
@@ -227,16 +228,16 @@
         })
     }
 
-    /// Returns the unanswered loads of previous holders if any of them may have
-    /// started within the last `span_ms` or may still start.
+    /// Returns the unanswered loads of previous holders if any of them may
+    /// have started within the last `span_ms` or may still start.
     fn inherited_lost(&self, span_ms: u64, now: Millis) -> LostLoads {
         let lost = self.inherited.map(|previous| previous.lost);
         let lost = lost.filter(|lost| now.since(lost.until) <= span_ms);
         lost.unwrap_or_default()
     }
 
-    /// Counts the loads that can have started within the last window or may still
-    /// start.
+    /// Counts the loads that can have started within the last window or may
+    /// still start.
     pub fn count(&mut self, rate: LoadRate, now: Millis) -> usize {
         self.expire(now);
         self.started.retain(|started| now.since(*started) <= rate.window_ms);
@@ -291,8 +292,8 @@
     }
 }
 
-/// Counts the maximum number of loads of previous holders that can have started
-/// within the last `span_ms`.
+/// Counts the maximum number of loads of previous holders that can have
+/// started within the last `span_ms`.
 ///
 /// In the worst case, a full burst of loads started at `until`, another one
 /// burst length earlier, and so on.
--- a/crates/valehold-core/src/fleet/workspace.rs
+++ b/crates/valehold-core/src/fleet/workspace.rs
@@ -1,5 +1,5 @@
-//! Workspaces: the tenants whose callers may use the routes, with their keys and
-//! usage limits.
+//! Workspaces: the tenants whose callers may use the routes, with their keys
+//! and usage limits.
 //!
 //! Only the digest of a caller's key is stored, so the configuration that
 //! gateways keep and send one another does not reveal any key.
@@ -52,8 +52,8 @@
 pub enum UsageUnit {
     /// Each request costs one.
     Requests,
-    /// A request costs its tokens: those of its prompt, and the maximum for its
-    /// answer.
+    /// A request costs its tokens: those of its prompt, and the maximum for
+    /// its answer.
     Tokens {
         /// The cost of a request that does not state its tokens.
         default_tokens: u64,
@@ -61,8 +61,8 @@
 }
 
 impl UsageUnit {
-    /// Returns the cost of a request. `tokens` is the number of tokens that the
-    /// request states.
+    /// Returns the cost of a request. `tokens` is the number of tokens that
+    /// the request states.
     #[allow(clippy::cast_precision_loss)]
     pub fn cost(self, tokens: Option<u64>) -> f64 {
         match self {
@@ -110,7 +110,8 @@
 impl Workspaces {
     /// Adds a workspace and the digests of its callers' keys.
     ///
-    /// A key that belonged to another workspace belongs to this one afterwards.
+    /// A key that belonged to another workspace belongs to this one
+    /// afterwards.
     pub fn add(
         &mut self,
         workspace: Workspace,
--- a/crates/valehold-gateway/src/control/limits.rs
+++ b/crates/valehold-gateway/src/control/limits.rs
@@ -9,7 +9,7 @@
     Millis,
     fleet::{
         usage::{
-            LimitSettings, Presence, ReportScope, Throttles, UsageBook,
+            LimitSettings, Presence, ReportScope, Throttles, UsageAggregator,
             UsageTotal,
         },
         workspace::Workspaces,
@@ -31,7 +31,7 @@
 /// What control keeps of workspaces' limits.
 #[derive(Debug)]
 pub(super) struct LimitDuty {
-    book: UsageBook,
+    book: UsageAggregator,
     presence: Presence<std::net::SocketAddr>,
     /// Among how many gateways limits are divided at first.
     at_first: usize,
@@ -48,7 +48,7 @@
         let others = usize::try_from(settings.instances).unwrap_or(1);
         let at_first = if is_alone { 1 } else { others };
         Self {
-            book: UsageBook::new(settings, now),
+            book: UsageAggregator::new(settings, now),
             presence: Presence::new(at_first),
             at_first,
         }
--- a/crates/valehold-gateway/src/shared.rs
+++ b/crates/valehold-gateway/src/shared.rs
@@ -10,7 +10,7 @@
 use valehold_core::fleet::{
     Asked, UpstreamStart,
     cold::{ColdBook, RightAsk},
-    crashes::CrashBook,
+    crashes::CrashTracker,
     paces::{PaceObservation, Paces},
     rest::Rests,
     topology::Topology,
@@ -94,7 +94,7 @@
     cold: Mutex<ColdBook>,
     rests: Mutex<Rests>,
     upstream_limits: Mutex<UpstreamLimits>,
-    crashes: Mutex<CrashBook>,
+    crashes: Mutex<CrashTracker>,
     crash_changes: watch::Sender<u64>,
     wishes: mpsc::Sender<Asked>,
     right_asks: mpsc::Sender<RightAsk>,
@@ -133,7 +133,7 @@
             cold: Mutex::new(ColdBook::new(rand::random())),
             rests: Mutex::default(),
             upstream_limits: Mutex::default(),
-            crashes: Mutex::new(CrashBook::new(settings.crashes.keep_ms())),
+            crashes: Mutex::new(CrashTracker::new(settings.crashes.keep_ms())),
             crash_changes: watch::Sender::new(0),
             wishes,
             right_asks,
@@ -190,14 +190,14 @@
     }
 
     /// What this gateway knows of crashes, and of requests that cause them.
-    pub fn crashes(&self) -> MutexGuard<'_, CrashBook> {
+    pub fn crashes(&self) -> MutexGuard<'_, CrashTracker> {
         // Each entry stands for itself: any that a panic left is valid.
         self.crashes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Changes what this gateway knows of crashes, and tells requests that
     /// are under way if others than before are refused.
-    pub fn change_crashes(&self, change: impl FnOnce(&mut CrashBook)) {
+    pub fn change_crashes(&self, change: impl FnOnce(&mut CrashTracker)) {
         let changes = {
             let mut book = self.crashes();
             change(&mut book);
