--- a/crates/valehold-core/src/fleet/crashes/culprits.rs
+++ b/crates/valehold-core/src/fleet/crashes/culprits.rs
@@ -37,8 +37,9 @@
 /// - the request was in flight at [`REFUSED_AFTER_CRASHES`] crashes that no
 ///   other culprit explains,
 /// - no other unanswered request was in flight at all of these crashes, and
-/// - these crashes are independent: if an upstream without the request crashes
-///   within 100 ms of them, they may have a common cause and count as one.
+/// - these crashes are independent: crashes within 100 ms count as one if an
+///   upstream without the request crashed at the same time, since all of them
+///   may have a common cause.
 ///
 /// Two requests that were in flight at the same crashes are both allowed until
 /// one of them is answered or is in flight at another crash without the other.
--- a/crates/valehold-core/src/fleet/usage/presence.rs
+++ b/crates/valehold-core/src/fleet/usage/presence.rs
@@ -10,13 +10,13 @@
 
 use crate::time::Millis;
 
-/// How long after it was last present a gateway counts as gone, in ms, for a
-/// majority of gateways.
+/// How long a majority of gateways counts an absent gateway among all gateways,
+/// in ms. After that, the gateway counts as gone.
 const GONE_AFTER_MS: u64 = 60_000;
 
 /// How long gateways that reach at most half of all may use their share, in
 /// ms. They stop well before the majority counts them as gone and divides
-/// their share among itself.
+/// the limits without them.
 const MINORITY_ACTIVE_MS: u64 = 45_000;
 
 /// One in this many of all gateways must be present for a hub to throttle.
--- a/crates/valehold-core/src/fleet/weight_loads.rs
+++ b/crates/valehold-core/src/fleet/weight_loads.rs
@@ -98,9 +98,10 @@
 /// holder knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InheritedLoads {
-    /// The time by which their orders have arrived, except for delayed ones.
+    /// The time by which the orders of previous holders have arrived, except
+    /// for delayed ones.
     pub until: Millis,
-    /// The loads that may start later.
+    /// The loads whose orders may be delayed, so that they may start later.
     pub lost: LostLoads,
 }
 
@@ -145,6 +146,7 @@
     pending: BTreeMap<OrderPosition, PendingLoad>,
     /// The latest possible start of each load that has started.
     started: Vec<Millis>,
+    /// The loads of previous holders; `None` if there were none.
     inherited: Option<InheritedLoads>,
 }
 
@@ -208,8 +210,9 @@
 
     /// Records the loads that previous holders of the lease ordered.
     ///
-    /// The loads of this holder that started by then are dropped: the maximum
-    /// that previous holders may have started includes them.
+    /// Loads that this holder recorded as started by `previous.until` are
+    /// dropped: the maximum that previous holders may have started includes
+    /// them.
     pub fn inherit(&mut self, previous: InheritedLoads) {
         self.started.retain(|started| *started > previous.until);
         self.inherited = Some(previous);
