--- a/crates/valehold-core/src/fleet/usage/meter.rs
+++ b/crates/valehold-core/src/fleet/usage/meter.rs
@@ -25,8 +25,8 @@
 /// How long after its last throttles a gateway counts as isolated, in ms.
 const ISOLATED_AFTER_MS: u64 = 1_000;
 
-/// The time after the end of an isolation within which the hubs receive the use
-/// that the gateway counted meanwhile, in ms.
+/// The time after the end of an isolation within which the hubs receive the
+/// use that the gateway counted meanwhile, in ms.
 const REPORTED_WITHIN_MS: u64 = 450;
 
 /// How long a changed total is repeated in reports, in ms, since the datagrams
--- a/crates/valehold-core/src/fleet/usage/presence.rs
+++ b/crates/valehold-core/src/fleet/usage/presence.rs
@@ -10,8 +10,8 @@
 
 use crate::time::Millis;
 
-/// How long a majority of gateways counts an absent gateway among all gateways,
-/// in ms. After that, the gateway counts as gone.
+/// How long a majority of gateways counts an absent gateway among all
+/// gateways, in ms. After that, the gateway counts as gone.
 const GONE_AFTER_MS: u64 = 60_000;
 
 /// How long gateways that reach at most half of all may use their share, in
