--- a/crates/valehold-core/src/fleet/crashes/record.rs
+++ b/crates/valehold-core/src/fleet/crashes/record.rs
@@ -58,8 +58,8 @@
     /// Returns the change after which the store records the `refused`
     /// requests, but neither the `cleared` nor the expired ones.
     ///
-    /// A change holds at most 50 refusals to write and 50 to delete, and leaves
-    /// out the rest.
+    /// A change holds at most 50 refusals to write and 50 to delete, and
+    /// leaves out the rest.
     pub fn change(
         &self,
         refused: &[RefusedReport],
