--- a/crates/valehold-core/src/fleet/cold/grantor.rs
+++ b/crates/valehold-core/src/fleet/cold/grantor.rs
@@ -158,7 +158,7 @@
             .entry(upstream.clone())
             .or_insert_with(|| Window::new(WINDOW_MS));
         if issued.count(now) < max {
-            issued.note(now);
+            issued.record(now);
             return PermitReply::Granted;
         }
         let oldest_ms = issued.oldest().map_or(0, |at| now.since(at));
--- a/crates/valehold-core/src/fleet/retry_share.rs
+++ b/crates/valehold-core/src/fleet/retry_share.rs
@@ -55,7 +55,7 @@
 
     /// Records the first attempt of a request.
     pub fn record_request(&mut self, now: Millis) {
-        self.requests.note(now);
+        self.requests.record(now);
     }
 
     /// Reports whether the share allows another retry.
@@ -67,7 +67,7 @@
     pub fn try_retry(&mut self, now: Millis) -> bool {
         let can = self.can_retry(now);
         if can {
-            self.retries.note(now);
+            self.retries.record(now);
         }
         can
     }
