--- a/crates/valehold-gateway/src/control/entry.rs
+++ b/crates/valehold-gateway/src/control/entry.rs
@@ -9,7 +9,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Holding, Upstream, UpstreamStart, Variant, weight_loads::OrderPlace,
+        Holding, Upstream, UpstreamStart, Variant, weight_loads::OrderPosition,
     },
     id::{DataCentreId, ModelName, ServiceName},
     order::Stamp,
@@ -180,9 +180,9 @@
 
     /// Returns the position of the next order in the engine's sequence of
     /// orders.
-    pub(super) fn next_position(&self) -> OrderPlace {
+    pub(super) fn next_position(&self) -> OrderPosition {
         let start = self.start.clone();
-        OrderPlace { start, sequence: self.holding.sequence }
+        OrderPosition { start, sequence: self.holding.sequence }
     }
 
     /// Returns whether an order can be sent to the engine now.
--- a/crates/valehold-gateway/src/control/input.rs
+++ b/crates/valehold-gateway/src/control/input.rs
@@ -7,7 +7,7 @@
     fleet::{
         Catalog, EvacuationUpdate, Listing, UpstreamStart,
         replicas::LoadSource,
-        weight_loads::{LoadEnd, OrderPlace},
+        weight_loads::{LoadOutcome, OrderPosition},
     },
 };
 use valehold_ports::{
@@ -54,9 +54,9 @@
 
 impl PendingOrder {
     /// Returns the position of the order in its engine's sequence of orders.
-    pub(super) fn position(&self) -> OrderPlace {
+    pub(super) fn position(&self) -> OrderPosition {
         let start = self.engine.clone();
-        OrderPlace { start, sequence: self.expected_sequence }
+        OrderPosition { start, sequence: self.expected_sequence }
     }
 }
 
@@ -95,18 +95,20 @@
     }
 
     /// Returns the conclusion for the load that was ordered.
-    pub(super) fn load_outcome(&self) -> LoadEnd {
+    pub(super) fn load_outcome(&self) -> LoadOutcome {
         match self {
-            Self::NotSent => LoadEnd::NotBegun,
+            Self::NotSent => LoadOutcome::NotStarted,
             Self::Answered(answer) => match answer.outcome {
-                OrderOutcome::Accepted | OrderOutcome::Holds => LoadEnd::Began,
-                OrderOutcome::Conflict => LoadEnd::NotBegun,
+                OrderOutcome::Accepted | OrderOutcome::Holds => {
+                    LoadOutcome::Started
+                }
+                OrderOutcome::Conflict => LoadOutcome::NotStarted,
                 // Refusals include failures of the engine.
-                OrderOutcome::Refused => LoadEnd::Unknown,
+                OrderOutcome::Refused => LoadOutcome::Unknown,
             },
             Self::Unanswered(error) => match error.verdict() {
-                Verdict::NotRun => LoadEnd::NotBegun,
-                Verdict::MayHaveRun | Verdict::Ran => LoadEnd::Unknown,
+                Verdict::NotRun => LoadOutcome::NotStarted,
+                Verdict::MayHaveRun | Verdict::Ran => LoadOutcome::Unknown,
             },
         }
     }
--- a/crates/valehold-gateway/src/control/lease.rs
+++ b/crates/valehold-gateway/src/control/lease.rs
@@ -25,7 +25,7 @@
     Millis,
     fleet::{
         StoreVersion,
-        weight_loads::{Inheritance, LostLoads},
+        weight_loads::{InheritedLoads, LostLoads},
     },
     id::InstanceId,
     lease::{
@@ -164,7 +164,7 @@
     last_epoch: Option<u64>,
     /// The loads ordered by earlier holders that this gateway has to count
     /// once it has the lease.
-    inherited_loads: Option<Inheritance>,
+    inherited_loads: Option<InheritedLoads>,
     /// Loads whose orders were not answered. The row tells the next holder.
     lost_loads: LostLoads,
     /// The highest version of the row that a holder has reported, and when
@@ -494,7 +494,7 @@
         &self,
         previous_holder: PreviousHolder,
         row: Option<&LeaseRow>,
-    ) -> Option<Inheritance> {
+    ) -> Option<InheritedLoads> {
         let quiet_since = self.orders_from - self.quiet_ms;
         let until = match previous_holder {
             PreviousHolder::NoHolder | PreviousHolder::ThisProcess => {
@@ -510,12 +510,12 @@
             count: row.lost_loads as usize,
             until: clock.local_time(row.lost_until),
         };
-        Some(Inheritance { until, lost })
+        Some(InheritedLoads { until, lost })
     }
 
     /// Returns the loads of earlier holders that have to be counted, at the
     /// first call after the lease was taken.
-    pub(super) fn take_inherited_loads(&mut self) -> Option<Inheritance> {
+    pub(super) fn take_inherited_loads(&mut self) -> Option<InheritedLoads> {
         self.inherited_loads.take()
     }
 
--- a/crates/valehold-gateway/src/control/lease/tests.rs
+++ b/crates/valehold-gateway/src/control/lease/tests.rs
@@ -12,8 +12,8 @@
     Millis,
     fleet::{
         Listing, StoreVersion,
-        crashes::{RecordChange, RecordSight},
-        weight_loads::{Inheritance, LostLoads},
+        crashes::{RecordChange, RecordState},
+        weight_loads::{InheritedLoads, LostLoads},
     },
     id::InstanceId,
     lease::{LeaseInEra, LeaseRow, VersionedLease},
@@ -133,7 +133,7 @@
         async move { Ok(LeaseWrite::Won { version, store_ms }) }.boxed()
     }
 
-    fn read_refused(&self) -> Answer<'_, RecordSight> {
+    fn read_refused(&self) -> Answer<'_, RecordState> {
         not_supported()
     }
 
@@ -268,7 +268,7 @@
 async fn inherited_loads(
     member: &mut Member,
     from: u64,
-) -> Option<Inheritance> {
+) -> Option<InheritedLoads> {
     member.act_from(from, from + 5_000).await;
     expect_true!(member.manager.held_epoch(at(from + 5_000)).is_some());
     member.manager.take_inherited_loads()
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -36,7 +36,7 @@
         peaks::Peaks,
         topology::Topology,
         upstream_limit::UpstreamLimits,
-        weight_loads::{Inheritance, LostLoads, WeightLoads},
+        weight_loads::{InheritedLoads, LostLoads, WeightLoads},
     },
     id::{DataCentreId, InstanceId, ModelName, ServiceName, UpstreamId},
     order::Stamp,
@@ -239,7 +239,7 @@
     pub(super) fn begin_epoch(
         &mut self,
         epoch: u64,
-        inherited: Option<Inheritance>,
+        inherited: Option<InheritedLoads>,
     ) {
         self.stamp = Stamp { epoch, sequence: 0 };
         self.loads_exhausted = false;
@@ -440,7 +440,7 @@
         entry.failures = 0;
         if entry.is_current_start(report.birth) {
             let orders = report.holding.sequence;
-            self.weight_loads.seen(start, orders, now);
+            self.weight_loads.record_accepted(start, orders, now);
         }
         if entry.is_later_start(report.birth) {
             entry.restart(report.birth);
--- a/crates/valehold-gateway/src/control/placer/models.rs
+++ b/crates/valehold-gateway/src/control/placer/models.rs
@@ -94,7 +94,7 @@
         self.next_service_index = first + 1;
         let mut remaining_services = services.len();
         for (service, spec) in services {
-            let available = self.weight_loads.left(rate, now);
+            let available = self.weight_loads.available(rate, now);
             let allowed = available.div_ceil(remaining_services);
             remaining_services -= 1;
             self.update_missing_models(now, service, spec);
@@ -212,7 +212,7 @@
     /// Logs an event when the permitted loads from the weight store become
     /// exhausted.
     pub(super) fn log_loads_exhausted(&mut self, now: Millis, rate: LoadRate) {
-        let is_exhausted = self.weight_loads.left(rate, now) == 0;
+        let is_exhausted = self.weight_loads.available(rate, now) == 0;
         let was_exhausted =
             std::mem::replace(&mut self.loads_exhausted, is_exhausted);
         if is_exhausted && !was_exhausted {
--- a/crates/valehold-gateway/src/control/placer/orders.rs
+++ b/crates/valehold-gateway/src/control/placer/orders.rs
@@ -218,9 +218,13 @@
     ) {
         let position = order.position();
         if order.source == Some(LoadSource::WeightStore) {
-            self.weight_loads.end(&position, result.load_outcome(), now);
+            self.weight_loads.record_outcome(
+                &position,
+                result.load_outcome(),
+                now,
+            );
         } else if result.was_accepted() {
-            self.weight_loads.void(&position);
+            self.weight_loads.discard(&position);
         }
     }
 }
--- a/crates/valehold-gateway/src/peers/message.rs
+++ b/crates/valehold-gateway/src/peers/message.rs
@@ -14,10 +14,10 @@
         Asked, Catalog, EngineHolding, Evacuations, ListingDelta, RegionBound,
         UpstreamStart, Variant,
         cold::{PermitReply, PermitRequest},
-        crashes::CrashWords,
+        crashes::CrashReports,
         paces::{PaceObservation, PaceUpdate},
         upstream_limit::LimitReport,
-        usage::{Rulings, UsageTotal},
+        usage::{Throttles, UsageTotal},
     },
     id::{DataCentreId, InstanceId, UpstreamTag},
 };
@@ -319,7 +319,7 @@
     pub crashes: u64,
     /// What is ruled of workspaces' limits; `None` from a hub that has not
     /// heard for long enough to rule.
-    pub rulings: Option<Rulings>,
+    pub rulings: Option<Throttles>,
 }
 
 /// What the foremost hub of one group says to the hubs of the others, and to
@@ -405,7 +405,7 @@
     /// What all gateways have under way.
     pub loads: LoadNews,
     /// What is ruled of workspaces' limits, as in a summary.
-    pub rulings: Option<Rulings>,
+    pub rulings: Option<Throttles>,
     /// What was learned of engines and models.
     pub paces: PaceUpdate,
 }
@@ -454,7 +454,7 @@
     Evacuations(EvacuationWord),
     /// From who saw it: crashes, and requests that were there. To one that
     /// knows something else: all that is known.
-    Crashes(CrashWords),
+    Crashes(CrashReports),
     /// From who had such an answer: upstreams that say that they leave.
     Leaving(Vec<UpstreamStart>),
     /// From who had such an answer: how many requests upstreams in need take.
--- a/crates/valehold-gateway/src/peers/roster/hub_reports.rs
+++ b/crates/valehold-gateway/src/peers/roster/hub_reports.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
-use valehold_core::{Millis, fleet::usage::Rulings};
+use valehold_core::{Millis, fleet::usage::Throttles};
 
 use super::{
     HUB_REPORT_TTL_FACTOR, HubReport, Roster,
@@ -201,7 +201,7 @@
         &self,
         own: &Heartbeat,
         members: MemberNews,
-        rulings: Option<Rulings>,
+        rulings: Option<Throttles>,
         now: Millis,
     ) -> Summary {
         // Leaves out the summaries of other hubs of the group: two hubs would
