--- a/crates/valehold-gateway/src/control/placer/holders.rs
+++ b/crates/valehold-gateway/src/control/placer/holders.rs
@@ -1,4 +1,5 @@
-//! Which engines hold which model, found without a walk over all engines.
+//! An index of the engines that hold each model, which saves scans of all
+//! engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +8,26 @@
     id::{ModelName, UpstreamId},
 };
 
-use crate::control::entry::Entry;
+use crate::control::entry::EngineEntry;
 
-/// How often engines are forgotten that gave a model up, in ms.
-const REBUILD_EVERY_MS: u64 = 5_000;
+/// The interval at which the index is rebuilt without engines that have
+/// unloaded a model, in ms.
+const REBUILD_INTERVAL_MS: u64 = 5_000;
 
-/// The engines that hold each model, and some that did lately: whoever looks
-/// asks each engine's entry.
+/// An index from models to engines.
+///
+/// Besides the engines that hold a model, the index may contain engines that
+/// have unloaded the model since the last rebuild. Callers check the entry of
+/// each engine.
 #[derive(Debug, Default)]
-pub(super) struct Holders {
+pub(super) struct ModelHolders {
     engines: BTreeMap<ModelName, BTreeSet<UpstreamId>>,
-    rebuilt: Millis,
+    rebuilt_at: Millis,
 }
 
-impl Holders {
-    /// Notes what an engine holds.
-    pub(super) fn note(&mut self, id: &UpstreamId, entry: &Entry) {
+impl ModelHolders {
+    /// Records the models on an engine.
+    pub(super) fn record(&mut self, id: &UpstreamId, entry: &EngineEntry) {
         for model in entry.holding.models.keys() {
             let engines = self.engines.entry(model.clone()).or_default();
             if !engines.contains(id) {
@@ -31,27 +36,28 @@
         }
     }
 
-    /// Returns the engines that hold a model.
-    pub(super) fn of(
+    /// Returns the engines that hold a model or held the model recently.
+    pub(super) fn engines_with(
         &self,
         model: &ModelName,
     ) -> impl Iterator<Item = &UpstreamId> + use<'_> {
         self.engines.get(model).into_iter().flatten()
     }
 
-    /// Forgets, now and then, engines that do not hold a model any more.
+    /// Rebuilds the index if the interval has passed, which removes engines
+    /// that have unloaded a model.
     pub(super) fn rebuild_if_due(
         &mut self,
-        entries: &BTreeMap<UpstreamId, Entry>,
+        entries: &BTreeMap<UpstreamId, EngineEntry>,
         now: Millis,
     ) {
-        if now.since(self.rebuilt) < REBUILD_EVERY_MS {
+        if now.since(self.rebuilt_at) < REBUILD_INTERVAL_MS {
             return;
         }
-        self.rebuilt = now;
+        self.rebuilt_at = now;
         self.engines.clear();
         for (id, entry) in entries {
-            self.note(id, entry);
+            self.record(id, entry);
         }
     }
 }
