--- a/crates/valehold-core/examples/cold_rates.rs
+++ b/crates/valehold-core/examples/cold_rates.rs
@@ -21,7 +21,7 @@
 
 const BOUND: ColdBound = ColdBound { overshoot: 1.5, slack: 5.0 };
 
-const SPEC: ColdSpec = ColdSpec { lasts_ms: 3_000, bears_per_second: 13.0 };
+const SPEC: ColdSpec = ColdSpec { lasts_ms: 3_000, requests_per_second: 13.0 };
 
 /// How many upstreams come back together.
 const UPSTREAMS: usize = 20;
--- a/crates/valehold-core/src/fleet/bound.rs
+++ b/crates/valehold-core/src/fleet/bound.rs
@@ -1,4 +1,4 @@
-//! The regions in which a request may be served.
+//! Region bounds: restrictions of requests to regions.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +8,8 @@
 
 /// The regions in which a request may be served.
 ///
-/// Not knowing is not permission: where a bound names regions, a place whose
-/// region is not known lies outside of it.
+/// A bound that names regions does not allow a data centre whose region is
+/// unknown: a missing entry in the topology must not widen a restriction.
 #[derive(
     Debug,
     Clone,
@@ -22,22 +22,22 @@
     Deserialize,
 )]
 pub enum RegionBound {
-    /// Any of them.
+    /// Any region, also an unknown one.
     #[default]
     Anywhere,
-    /// These only; none at all if it is empty.
+    /// Only these regions; no region at all if the set is empty.
     Within(BTreeSet<RegionId>),
 }
 
 impl RegionBound {
-    /// Makes a bound of some regions.
+    /// Creates a bound that allows only the given regions.
     pub fn within(regions: impl IntoIterator<Item = impl AsRef<str>>) -> Self {
         Self::Within(regions.into_iter().map(RegionId::new).collect())
     }
 
-    /// Returns the bound that holds where both hold.
+    /// Returns the bound that allows the regions that both bounds allow.
     #[must_use]
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::Anywhere, bound) | (bound, Self::Anywhere) => bound.clone(),
             (Self::Within(a), Self::Within(b)) => {
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Returns the regions that it names; `None` if it sets none.
+    /// Returns the regions that the bound names, or `None` if every region is
+    /// allowed.
     pub fn regions(&self) -> Option<&BTreeSet<RegionId>> {
         match self {
             Self::Anywhere => None,
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Tells whether a request may be served in a region.
+    /// Returns whether a request may be served in a region; `None` stands for
+    /// an unknown region.
     pub fn allows(&self, region: Option<&RegionId>) -> bool {
         match self {
             Self::Anywhere => true,
@@ -64,8 +66,8 @@
         }
     }
 
-    /// Tells whether what is served inside this bound is inside another one
-    /// as well.
+    /// Returns whether every region that this bound allows is also allowed by
+    /// `other`.
     pub fn is_within(&self, other: &Self) -> bool {
         match (self, other) {
             (_, Self::Anywhere) => true,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Tells whether there is no region in which a request may be served.
+    /// Returns whether the bound allows no region at all.
     pub fn is_empty(&self) -> bool {
         matches!(self, Self::Within(regions) if regions.is_empty())
     }
--- a/crates/valehold-core/src/fleet/catalog.rs
+++ b/crates/valehold-core/src/fleet/catalog.rs
@@ -1,4 +1,5 @@
-//! Routes, services and models, as one accepted configuration declares them.
+//! The catalog: the routes, services, models and limits that one accepted
+//! configuration declares.
 
 use std::collections::BTreeMap;
 
@@ -13,62 +14,66 @@
 /// Whether a request may be sent to an upstream more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repetition {
-    /// It may run any number of times.
-    Safe,
-    /// It may run once.
-    Once,
-    /// It is a stream that another upstream may go on with.
+    /// The request may run any number of times.
+    Idempotent,
+    /// The request may run at most once.
+    AtMostOnce,
+    /// The answer is a stream that another upstream can continue.
     Resumable,
 }
 
 impl Repetition {
-    /// Tells whether a request that may have run may be sent again.
-    pub const fn is_allowed(self) -> bool {
-        !matches!(self, Self::Once)
+    /// Returns whether a request that may have run may be sent again.
+    pub const fn allows_resend(self) -> bool {
+        !matches!(self, Self::AtMostOnce)
     }
 }
 
-/// A service that takes a part of a route's requests.
+/// A service that receives a share of the requests of a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub service: ServiceName,
-    /// Its part, relative to the other targets' weights.
+    /// The share of requests, relative to the weights of the other targets.
     pub weight: u32,
 }
 
-/// One route: which requests it takes, and how they are to be treated.
+/// A route: the requests that it matches, and how these requests are handled.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The host that callers name.
+    /// The host that requests name, compared without regard to case.
     pub host: String,
-    /// The beginning of the paths that it takes.
+    /// The prefix of the paths that the route matches.
     pub prefix: String,
-    /// The services that answer it.
+    /// The services that answer the requests.
     pub targets: Vec<Target>,
-    /// Whether its requests may run more than once.
+    /// Whether the requests may run more than once.
     pub repetition: Repetition,
-    /// Whether its answers are streams of events.
+    /// Whether the answers are event streams.
     pub streaming: bool,
-    /// The longest time a request may be held, in ms.
-    pub longest_ms: u64,
-    /// The time within which an answer is to begin, in ms.
+    /// The maximum duration of a request, in ms; 0 if the route declares none.
+    pub timeout_ms: u64,
+    /// The objective for the time until an answer begins, in ms.
     pub begin_within_ms: u64,
-    /// The longest pause between events of an answer that is in time, in ms;
-    /// 0 if the route states none.
+    /// The objective for the longest pause between the events of an answer, in
+    /// ms; 0 if the route declares none.
     pub pause_within_ms: u64,
-    /// Its rank; 0 is the most urgent.
+    /// The rank of the requests; 0 is the most urgent.
     pub rank: u8,
-    /// The most upstreams that one request may be sent to.
+    /// The maximum number of upstreams that one request is sent to.
     pub attempts: u32,
-    /// Whether its requests need no key.
+    /// Whether requests need no API key.
     pub public: bool,
-    /// The regions in which its requests may be served.
+    /// The regions in which the requests may be served.
     pub bound: RegionBound,
 }
 
 impl Route {
-    /// Picks the service for a request; `draw` is from 0 to 1.
+    /// Picks the service for a request by weight, or returns `None` if the
+    /// route has no targets.
+    ///
+    /// `draw` is a random number from 0 to 1. A target without weight is picked
+    /// only if no target has a weight.
     pub fn service(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.targets.iter().map(|t| t.weight).sum();
         let mut left = draw * f64::from(total);
@@ -78,98 +83,104 @@
                 return Some(&target.service);
             }
         }
-        let weighty = self.targets.iter().rev().find(|t| t.weight > 0);
-        weighty.or(self.targets.last()).map(|target| &target.service)
+        let last_weighted = self.targets.iter().rev().find(|t| t.weight > 0);
+        last_weighted.or(self.targets.last()).map(|target| &target.service)
     }
 }
 
 /// A model that a service's engines can hold.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ModelSpec {
-    /// Its name.
+    /// The name of the model.
     pub name: ModelName,
-    /// The memory of its weights, in MB.
+    /// The memory that the weights use, in MB.
     pub size_mb: u64,
-    /// How long its load from the weight store takes if few others run, in
-    /// ms; 0 if nothing says so.
+    /// The duration of a load from the weight store while few other loads
+    /// run, in ms; 0 if the configuration declares none.
     pub load_ms: u64,
-    /// Its adapters.
+    /// The adapters of the model.
     pub adapters: Vec<AdapterName>,
-    /// The memory of one of its adapters, in MB.
+    /// The memory that one adapter uses, in MB.
     pub adapter_size_mb: u64,
 }
 
-/// What the engines of a service are able to do.
+/// The capacity of the engines of a service, and the models that the engines
+/// can hold.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests that an engine decodes at once.
+    /// The number of requests that an engine decodes concurrently.
     pub slots: u32,
-    /// Memory for weights and adapters, in MB.
+    /// The memory of an engine for weights and adapters, in MB.
     pub memory_mb: u64,
-    /// Adapters that it can hold.
+    /// The number of adapters that an engine can hold.
     pub adapter_places: usize,
-    /// Loads a second that the weight store allows over all engines.
+    /// The loads per second that the weight store allows, over all engines.
     pub loads_per_second: f64,
-    /// The models.
+    /// The models that the engines can hold.
     pub models: Vec<ModelSpec>,
 }
 
 impl EngineSpec {
-    /// Returns a model's declaration.
+    /// Returns the declaration of a model, or `None` if the service does not
+    /// declare the model.
     pub fn model(&self, name: &ModelName) -> Option<&ModelSpec> {
         self.models.iter().find(|model| model.name == *name)
     }
 }
 
-/// How upstreams of a service are after their start.
+/// The limits of upstreams that are cold, which means recently started.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ColdSpec {
-    /// How long one stays cold, in ms.
+    /// How long an upstream stays cold after its start, in ms.
     pub lasts_ms: u64,
-    /// The requests a second that a cold one bears, over all gateways.
-    pub bears_per_second: f64,
+    /// The requests per second that a cold upstream can take from all gateways
+    /// together.
+    #[serde(rename = "bears_per_second")]
+    pub requests_per_second: f64,
 }
 
-/// A service, of plain processes or of model engines.
+/// A service, whose upstreams are either plain processes or model engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// For model engines, what they are able to do.
+    /// The specification of the engines; `None` for plain processes.
     pub engine: Option<EngineSpec>,
-    /// What its upstreams bear while they are cold; `None` if they are never
-    /// cold, or bear what they do otherwise.
+    /// The limits of cold upstreams; `None` if upstreams are never cold or have
+    /// no lower limit while cold.
     pub cold: Option<ColdSpec>,
 }
 
-/// What callers may send, and how long they may take.
+/// The limits on the size and timing of requests from callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The largest head of a request, in bytes.
-    pub header_bytes: usize,
-    /// The largest body of a request, in bytes.
-    pub body_bytes: usize,
-    /// How long a caller may take to send a head, in ms.
-    pub head_within_ms: u64,
-    /// How long a connection may rest between requests, in ms.
-    pub rest_ms: u64,
+    /// The maximum size of the head of a request, in bytes.
+    pub max_header_bytes: usize,
+    /// The maximum size of the body of a request, in bytes.
+    pub max_body_bytes: usize,
+    /// How long a caller may take to send the head of a request, in ms.
+    pub header_timeout_ms: u64,
+    /// How long a connection may stay idle between requests, in ms.
+    pub idle_timeout_ms: u64,
 }
 
 /// One accepted configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Its version; a greater one replaces it.
+    /// The version; a catalog with a greater version replaces this one.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub services: BTreeMap<ServiceName, Service>,
-    /// What callers may send.
+    /// The limits on the size and timing of requests.
     pub limits: CallerLimits,
-    /// Whose callers may use the routes; `None` lets anyone use them.
+    /// The workspaces whose callers may use the routes; with `None`, any caller
+    /// may use the routes.
     pub workspaces: Option<Workspaces>,
 }
 
 impl Catalog {
-    /// Finds the route with the longest prefix for a host and path.
+    /// Returns the route with the longest matching prefix for a host and path,
+    /// or `None` if no route matches.
     ///
     /// # Example
     ///
@@ -177,14 +188,14 @@
     /// # use valehold_core::fleet::catalog::*;
     /// # let route = |prefix: &str| Route {
     /// #     host: "a.example".into(), prefix: prefix.into(),
-    /// #     targets: vec![], repetition: Repetition::Once,
-    /// #     streaming: false, longest_ms: 1, begin_within_ms: 1,
+    /// #     targets: vec![], repetition: Repetition::AtMostOnce,
+    /// #     streaming: false, timeout_ms: 1, begin_within_ms: 1,
     /// #     pause_within_ms: 0, rank: 0,
     /// #     attempts: 1, public: false, bound: Default::default(),
     /// # };
     /// # let limits = CallerLimits {
-    /// #     header_bytes: 1, body_bytes: 1, head_within_ms: 1,
-    /// #     rest_ms: 1,
+    /// #     max_header_bytes: 1, max_body_bytes: 1, header_timeout_ms: 1,
+    /// #     idle_timeout_ms: 1,
     /// # };
     /// let catalog = Catalog {
     ///     version: 1,
@@ -206,8 +217,10 @@
     }
 
     /// Returns the regions in which a request for a host and path may be
-    /// served, by its route and its workspace; anywhere as far as neither is
-    /// declared.
+    /// served.
+    ///
+    /// This is the intersection of the bounds of the route and the workspace;
+    /// one that the catalog does not declare sets no bound.
     pub fn bound_of(
         &self,
         host: &str,
@@ -220,10 +233,11 @@
             .and_then(|(name, workspaces)| workspaces.named(name))
             .map(|workspace| &workspace.bound);
         let bounds = route.into_iter().chain(workspace);
-        bounds.fold(RegionBound::Anywhere, |all, bound| all.and(bound))
+        bounds
+            .fold(RegionBound::Anywhere, |all, bound| all.intersection(bound))
     }
 
-    /// Returns the bounds of a host's routes.
+    /// Returns the bounds of all routes of a host.
     pub fn bounds_of_host(
         &self,
         host: &str,
@@ -235,19 +249,21 @@
         routes.map(|route| &route.bound)
     }
 
-    /// Returns the routes and workspaces whose bounds have no region in
-    /// common: no request of the one to the other can be served.
+    /// Returns the pairs of a route and a workspace whose bounds have no region
+    /// in common: no request of the workspace to the route can be served.
     pub fn empty_bounds(&self) -> impl Iterator<Item = (&Route, &Workspace)> {
         let workspaces = self.workspaces.iter().flat_map(Workspaces::iter);
         workspaces.flat_map(move |workspace| {
             let routes = self.routes.iter();
             routes
-                .filter(|route| route.bound.and(&workspace.bound).is_empty())
+                .filter(|route| {
+                    route.bound.intersection(&workspace.bound).is_empty()
+                })
                 .map(move |route| (route, workspace))
         })
     }
 
-    /// Returns the services whose upstreams run models.
+    /// Returns the services whose upstreams are model engines.
     pub fn engine_specs(
         &self,
     ) -> impl Iterator<Item = (&ServiceName, &EngineSpec)> {
@@ -255,14 +271,18 @@
         services.filter_map(|(name, one)| Some((name, one.engine.as_ref()?)))
     }
 
-    /// Returns how many loads a second the weight store allows: one serves
-    /// all services, and the least that any of them states holds.
+    /// Returns the loads per second that the weight store allows, or `None` if
+    /// no service has engines.
+    ///
+    /// One weight store serves all services, so the lowest rate that any
+    /// service declares applies.
     pub fn loads_per_second(&self) -> Option<f64> {
         let rates = self.engine_specs().map(|(_, spec)| spec.loads_per_second);
         rates.min_by(f64::total_cmp)
     }
 
-    /// Returns a service whose upstreams run models, by name.
+    /// Returns the engine specification of a service, or `None` if the service
+    /// is not declared or has no engines.
     pub fn engine_spec(&self, service: &ServiceName) -> Option<&EngineSpec> {
         self.services.get(service)?.engine.as_ref()
     }
--- a/crates/valehold-core/src/fleet/cold/mod.rs
+++ b/crates/valehold-core/src/fleet/cold/mod.rs
@@ -51,7 +51,7 @@
     /// Returns how many requests a cold upstream may get in any one second.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn most_in_a_second(&self, spec: &ColdSpec) -> usize {
-        let most = spec.bears_per_second * self.overshoot + self.slack;
+        let most = spec.requests_per_second * self.overshoot + self.slack;
         most.max(0.0) as usize
     }
 
@@ -65,7 +65,7 @@
     pub fn rights_in_window(&self, spec: &ColdSpec) -> usize {
         let shared = self.most_in_a_second(spec) as f64 / GRANTORS_BORNE;
         let window_s = (1_000 + RIGHT_HOLDS_MS) as f64 / 1_000.0;
-        let borne = spec.bears_per_second * window_s;
+        let borne = spec.requests_per_second * window_s;
         shared.min(borne) as usize
     }
 }
--- a/crates/valehold-core/src/fleet/tests/bound.rs
+++ b/crates/valehold-core/src/fleet/tests/bound.rs
@@ -1,4 +1,4 @@
-//! Where two bounds hold, both hold.
+//! Tests of region bounds and their intersection.
 
 use std::collections::BTreeSet;
 
@@ -13,8 +13,8 @@
     let within = prop::collection::btree_set(0..REGIONS.len(), 0..4);
     prop_oneof![
         1 => Just(RegionBound::Anywhere),
-        3 => within.prop_map(|of| {
-            RegionBound::within(of.into_iter().map(|index| REGIONS[index]))
+        3 => within.prop_map(|indexes| {
+            RegionBound::within(indexes.into_iter().map(|index| REGIONS[index]))
         }),
     ]
 }
@@ -24,7 +24,7 @@
 }
 
 #[gtest]
-fn a_bound_allows_its_regions_alone() {
+fn a_bound_allows_only_its_regions() {
     let bound = RegionBound::within(["north", "south"]);
     expect_true!(allows(&bound, "north"));
     expect_true!(allows(&bound, "south"));
@@ -32,19 +32,20 @@
 }
 
 #[gtest]
-fn a_place_whose_region_is_not_known_lies_outside_of_every_bound() {
+fn only_the_unrestricted_bound_allows_an_unknown_region() {
     expect_false!(RegionBound::within(["north"]).allows(None));
     expect_true!(RegionBound::Anywhere.allows(None));
 }
 
 #[gtest]
-fn bounds_without_a_common_region_leave_none() {
-    let both =
-        RegionBound::within(["north"]).and(&RegionBound::within(["south"]));
+fn the_intersection_of_disjoint_bounds_is_empty() {
+    let both = RegionBound::within(["north"])
+        .intersection(&RegionBound::within(["south"]));
     expect_true!(both.is_empty());
     expect_that!(both, eq(&RegionBound::Within(BTreeSet::new())));
-    // An empty one never becomes a permission again.
-    expect_true!(both.and(&RegionBound::Anywhere).is_empty());
+    // An empty bound stays empty: the intersection with `Anywhere` does not
+    // widen it.
+    expect_true!(both.intersection(&RegionBound::Anywhere).is_empty());
     expect_false!(RegionBound::Anywhere.is_empty());
 }
 
@@ -52,10 +53,10 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn both_allow_what_each_allows(
+    fn an_intersection_allows_the_regions_that_both_bounds_allow(
         a in bound(), b in bound(), region in 0..REGIONS.len(),
     ) {
-        let both = a.and(&b);
+        let both = a.intersection(&b);
         let region = RegionId::new(REGIONS[region]);
         for region in [Some(&region), None] {
             let each = a.allows(region) && b.allows(region);
@@ -67,12 +68,12 @@
     }
 
     #[test]
-    fn the_order_in_which_bounds_are_joined_does_not_count(
+    fn intersection_is_commutative_associative_and_idempotent(
         a in bound(), b in bound(), c in bound(),
     ) {
-        prop_assert_eq!(a.and(&b), b.and(&a));
-        prop_assert_eq!(a.and(&b).and(&c), a.and(&b.and(&c)));
-        prop_assert_eq!(a.and(&a), a.clone());
-        prop_assert_eq!(a.and(&RegionBound::Anywhere), a);
+        prop_assert_eq!(a.intersection(&b), b.intersection(&a));
+        prop_assert_eq!(a.intersection(&b).intersection(&c), a.intersection(&b.intersection(&c)));
+        prop_assert_eq!(a.intersection(&a), a.clone());
+        prop_assert_eq!(a.intersection(&RegionBound::Anywhere), a);
     }
 }
--- a/crates/valehold-core/src/fleet/tests/catalog.rs
+++ b/crates/valehold-core/src/fleet/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Which route and which service take a request.
+//! Tests of the choice of the route, service and bound of a request.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -22,9 +22,9 @@
         host: "a.example".into(),
         prefix: prefix.into(),
         targets: weights.iter().enumerate().map(target).collect(),
-        repetition: Repetition::Once,
+        repetition: Repetition::AtMostOnce,
         streaming: false,
-        longest_ms: 1_000,
+        timeout_ms: 1_000,
         begin_within_ms: 100,
         pause_within_ms: 0,
         rank: 0,
@@ -40,17 +40,17 @@
         routes: prefixes.iter().map(|prefix| route(prefix, &[1])).collect(),
         services: Default::default(),
         limits: CallerLimits {
-            header_bytes: 1_000,
-            body_bytes: 1_000,
-            head_within_ms: 1_000,
-            rest_ms: 1_000,
+            max_header_bytes: 1_000,
+            max_body_bytes: 1_000,
+            header_timeout_ms: 1_000,
+            idle_timeout_ms: 1_000,
         },
         workspaces: None,
     }
 }
 
 #[gtest]
-fn the_longest_prefix_takes_a_request() {
+fn the_route_with_the_longest_matching_prefix_is_found() {
     let catalog = catalog(&["/a/", "/a/b/", "/c/"]);
     let found = |path: &str| {
         let route = catalog.find("A.EXAMPLE", path);
@@ -66,7 +66,7 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn a_service_without_weight_takes_nothing(
+    fn a_service_without_weight_is_not_picked(
         weights in prop::collection::vec(0_u32..5, 1..5),
         draw in 0.0_f64..1.0,
     ) {
@@ -83,8 +83,9 @@
     Workspace { name: WorkspaceId::new(name), rank: 0, limit: None, bound }
 }
 
-/// Two routes, one of them bound, and three workspaces.
-fn bounded() -> Catalog {
+/// Returns a catalog with two routes, one of them with a bound, and three
+/// workspaces.
+fn catalog_with_bounds() -> Catalog {
     let mut catalog = catalog(&["/", "/south/"]);
     catalog.routes[1].bound = RegionBound::within(["south", "east"]);
     let mut workspaces = Workspaces::default();
@@ -96,8 +97,8 @@
 }
 
 #[gtest]
-fn route_and_workspace_bind_together() {
-    let catalog = bounded();
+fn a_request_is_bound_by_its_route_and_its_workspace() {
+    let catalog = catalog_with_bounds();
     let bound = |path: &str, workspace: Option<&str>| {
         let workspace = workspace.map(WorkspaceId::new);
         catalog.bound_of("a.example", path, workspace.as_ref())
@@ -111,15 +112,15 @@
     expect_that!(bound("/south/1", Some("south")), eq(&of_both));
     expect_that!(bound("/1", Some("south")), eq(&of_both));
     expect_true!(bound("/south/1", Some("north")).is_empty());
-    // What is not declared sets no bound of its own.
+    // An undeclared workspace or route sets no bound.
     expect_that!(bound("/1", Some("gone")), eq(&RegionBound::Anywhere));
     let elsewhere = catalog.bound_of("b.example", "/south/1", None);
     expect_that!(elsewhere, eq(&RegionBound::Anywhere));
 }
 
 #[gtest]
-fn pairs_that_no_region_serves_are_found() {
-    let catalog = bounded();
+fn pairs_of_route_and_workspace_without_a_common_region_are_found() {
+    let catalog = catalog_with_bounds();
     let pairs: Vec<(&str, &str)> = catalog
         .empty_bounds()
         .map(|(route, workspace)| {
--- a/crates/valehold-gateway/src/control/feeds/tests.rs
+++ b/crates/valehold-gateway/src/control/feeds/tests.rs
@@ -101,10 +101,10 @@
 
 fn catalog(version: u64) -> Catalog {
     let limits = CallerLimits {
-        header_bytes: 1,
-        body_bytes: 1,
-        head_within_ms: 1,
-        rest_ms: 1,
+        max_header_bytes: 1,
+        max_body_bytes: 1,
+        header_timeout_ms: 1,
+        idle_timeout_ms: 1,
     };
     Catalog {
         version,
--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -43,7 +43,7 @@
     let workspace = job.workspace.as_ref().map(|one| &one.name);
     let path = job.head.uri.path();
     let bound = newest.bound_of(&job.route.host, path, workspace);
-    Cow::Owned(job.bound.and(&bound))
+    Cow::Owned(job.bound.intersection(&bound))
 }
 
 /// Returns how many upstreams outside the regions that bind a request hold
@@ -260,7 +260,7 @@
         let limit = limits.rate(&upstream.start());
         let limit = limit.map(RequestRate::per_second);
         let cold = cold.filter(|_| book.belief.is_cold(&upstream.id, now));
-        let bears = cold.map(|cold| cold.bears_per_second);
+        let bears = cold.map(|cold| cold.requests_per_second);
         let per_second = [limit, bears].into_iter().flatten().reduce(f64::min);
         let no_choice = match book.sight(&upstream.id, limit.is_some(), now) {
             RightSight::Free | RightSight::Needed => {
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -206,7 +206,7 @@
         let objective = Duration::from_millis(self.job.route.begin_within_ms);
         match self.job.route.repetition {
             Repetition::Resumable => objective * BEGIN_OBJECTIVES,
-            Repetition::Safe | Repetition::Once => objective,
+            Repetition::Idempotent | Repetition::AtMostOnce => objective,
         }
     }
 
@@ -241,7 +241,7 @@
         let job = &self.job;
         let mut tried = self.tried.clone();
         tried.push(upstream.clone());
-        job.route.repetition.is_allowed()
+        job.route.repetition.allows_resend()
             && self.sends + 1 < job.route.attempts
             && self.left() > LEAST_LEFT
             && self.app.can_send_again(&job.service_name)
@@ -259,7 +259,7 @@
             true => health.failed(now),
             false => health.succeeded(now),
         });
-        let repeatable = self.job.route.repetition.is_allowed();
+        let repeatable = self.job.route.repetition.allows_resend();
         if failed && self.can_move_from(&upstream.id) {
             return Err(SendFailure {
                 reason: RetryReason::RepeatableCall,
@@ -339,7 +339,7 @@
     fn may_follow(&self, verdict: Verdict) -> bool {
         let job = &self.job;
         let allowed =
-            verdict == Verdict::NotRun || job.route.repetition.is_allowed();
+            verdict == Verdict::NotRun || job.route.repetition.allows_resend();
         let has_time = self.left() > LEAST_LEFT;
         allowed && self.sends < job.route.attempts && has_time
     }
--- a/crates/valehold-gateway/src/traffic/route.rs
+++ b/crates/valehold-gateway/src/traffic/route.rs
@@ -136,17 +136,17 @@
         }
     };
     let deadline_ms = said.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
-    let held_ms = match route.longest_ms {
+    let held_ms = match route.timeout_ms {
         0 => deadline_ms,
-        longest_ms => deadline_ms.min(longest_ms),
+        timeout_ms => deadline_ms.min(timeout_ms),
     };
     let deadline = began + held_ms;
-    let limit = catalog.limits.body_bytes;
+    let limit = catalog.limits.max_body_bytes;
     let body = read_body(app, body, limit, deadline)
         .await
         .map_err(|refusal| (id, refusal))?;
     let bound = match &workspace {
-        Some(workspace) => route.bound.and(&workspace.bound),
+        Some(workspace) => route.bound.intersection(&workspace.bound),
         None => route.bound.clone(),
     };
     Ok(Job {
--- a/crates/valehold-gateway/src/traffic/server.rs
+++ b/crates/valehold-gateway/src/traffic/server.rs
@@ -174,7 +174,7 @@
         let view = self.app.shared.view.load();
         let limits = view.catalog.as_ref().map(|catalog| catalog.limits);
         limits.map_or(REST, |limits| {
-            let longest = limits.rest_ms.max(limits.head_within_ms);
+            let longest = limits.idle_timeout_ms.max(limits.header_timeout_ms);
             Duration::from_millis(longest)
         })
     }
