--- a/crates/valehold-core/src/fleet/mod.rs
+++ b/crates/valehold-core/src/fleet/mod.rs
@@ -1,16 +1,19 @@
 //! Decisions about a fleet of upstreams behind declared routes.
 //!
-//! A [`Catalog`] says which routes there are and which services answer them.
-//! The upstreams of a service list themselves; those that run models also
-//! say which models they hold. From both follow the choice of an upstream
-//! ([`choice`]), who may send to one that is cold ([`cold`]), how many second
-//! sends one instance may make ([`share`]),
-//! which models are to be loaded where ([`replicas`], [`adapters`]), and how
-//! many of them may come from the weight store ([`weight_loads`]).
+//! A [`Catalog`] declares the routes and the services that answer the routes.
+//! The upstreams of a service register themselves in a list; engines also
+//! report the models that they hold. From the catalog and the list follow:
+//!
+//! - the choice of an upstream for a request ([`choice`]);
+//! - the permits for sending to a cold upstream ([`cold`]);
+//! - the number of second sends that one instance may make ([`share`]);
+//! - the engines that load and unload models and adapters ([`replicas`],
+//!   [`adapters`]);
+//! - the number of loads that the weight store allows ([`weight_loads`]).
 
 pub mod adapters;
-pub mod asked;
 pub mod bound;
+pub mod bound_usage;
 pub mod catalog;
 pub mod choice;
 pub mod cold;
@@ -26,7 +29,7 @@
 pub mod listing;
 pub mod pace;
 pub mod paces;
-pub mod peaks;
+pub mod peak_demand;
 pub mod recent;
 pub mod replicas;
 pub mod rest;
@@ -45,8 +48,8 @@
 pub mod workspace;
 
 pub use self::{
-    asked::Asked,
     bound::RegionBound,
+    bound_usage::BoundVariant,
     catalog::{CallerLimits, Catalog, ModelSpec, Repetition, Route, Service},
     evacuation::{
         EvacuationChange, EvacuationNews, EvacuationView, Evacuations,
--- a/crates/valehold-core/src/fleet/tests.rs
+++ b/crates/valehold-core/src/fleet/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the fleet's decisions.
+//! Tests of the decisions about a fleet.
 
 mod adapters;
-mod asked;
 mod bound;
+mod bound_usage;
 mod catalog;
 mod choice;
 mod cold;
@@ -15,7 +15,7 @@
 mod leaving;
 mod pace;
 mod paces;
-mod peaks;
+mod peak_demand;
 mod replicas;
 mod replicas_in_bounds;
 mod rest;
--- a/crates/valehold-gateway/src/control/demand.rs
+++ b/crates/valehold-gateway/src/control/demand.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use valehold_core::{Millis, fleet::Asked};
+use valehold_core::{Millis, fleet::BoundVariant};
 
 use crate::{
     peers::{
@@ -42,13 +42,17 @@
 /// The demand that comes to this gateway.
 #[derive(Debug, Default)]
 pub(super) struct Demand {
-    rates: BTreeMap<Asked, Work>,
+    rates: BTreeMap<BoundVariant, Work>,
     updated: Millis,
 }
 
 impl Demand {
     /// Takes in the work that came since the last call.
-    pub(super) fn take(&mut self, work: BTreeMap<Asked, Work>, now: Millis) {
+    pub(super) fn take(
+        &mut self,
+        work: BTreeMap<BoundVariant, Work>,
+        now: Millis,
+    ) {
         #[allow(clippy::cast_precision_loss)]
         let passed_ms = now.since(self.updated).max(1) as f64;
         self.updated = now;
@@ -71,7 +75,7 @@
     #[allow(clippy::cast_possible_truncation)]
     pub(super) fn list(
         &self,
-        running: &BTreeMap<Asked, u32>,
+        running: &BTreeMap<BoundVariant, u32>,
     ) -> Vec<BoundDemand> {
         let mut rates = self.rates.clone();
         for asked in running.keys() {
@@ -80,7 +84,7 @@
         let mut list: Vec<BoundDemand> = Vec::new();
         for (asked, rate) in rates {
             let running = running.get(&asked).copied().unwrap_or(0);
-            let Asked { bound, variant } = asked;
+            let BoundVariant { bound, variant } = asked;
             let one = VariantDemand {
                 variant,
                 requests: rate.requests as f32,
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -56,7 +56,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EvacuationView, KnownUpstreams, cold::Grantor,
+        BoundVariant, Catalog, EvacuationView, KnownUpstreams, cold::Grantor,
         lapsed::StorePresence,
     },
     id::{DataCentreId, InstanceId},
@@ -489,7 +489,7 @@
         }
     }
 
-    fn wish(&mut self, asked: Asked) {
+    fn wish(&mut self, asked: BoundVariant) {
         let now = self.now();
         if self.lease.borrow().held_epoch(now).is_some() {
             self.placer.wished(asked, now);
--- a/crates/valehold-gateway/src/control/needs.rs
+++ b/crates/valehold-gateway/src/control/needs.rs
@@ -6,8 +6,8 @@
     Millis,
     fleet::{
         RegionBound,
-        asked::BoundUse,
-        peaks::Peaks,
+        bound_usage::BoundUsage,
+        peak_demand::PeakDemand,
         replicas::{ModelNeeds, Needs},
     },
     id::ModelName,
@@ -20,7 +20,7 @@
 
 /// Returns what each model needs, everywhere and inside the bounds in which
 /// it is used.
-pub(super) fn needs(demand: &DemandSum, used: &BoundUse) -> Needs {
+pub(super) fn needs(demand: &DemandSum, used: &BoundUsage) -> Needs {
     let everywhere = needs_within(demand, &RegionBound::Anywhere);
     let bounds = used.bounds().map(|(bound, models)| {
         let all = needs_within(demand, bound);
@@ -62,16 +62,16 @@
 /// Adds to each model's need how busy it was lately, given how many of the
 /// engines there hold it.
 pub(super) fn note_peaks(
-    peaks: &mut Peaks,
+    peaks: &mut PeakDemand,
     needs: &mut ModelNeeds,
     replicas: BTreeMap<ModelName, usize>,
     now: Millis,
 ) {
     let busy = needs.iter().map(|(model, need)| (model.clone(), need.busy));
-    peaks.follow(&busy.collect(), &replicas, now);
+    peaks.update(&busy.collect(), &replicas, now);
     for model in replicas.into_keys() {
         let need = needs.entry(model.clone()).or_default();
-        need.lately = peaks.of(&model);
+        need.lately = peaks.get(&model);
     }
 }
 
--- a/crates/valehold-gateway/src/control/placer/adapters.rs
+++ b/crates/valehold-gateway/src/control/placer/adapters.rs
@@ -8,9 +8,10 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, RegionBound, Variant,
+        BoundVariant, RegionBound, Variant,
         adapters::{
-            AdapterHost, AdapterStep, AdapterUse, place_adapter, roomiest_host,
+            AdapterHost, AdapterStep, AdapterUse, roomiest_host,
+            place_adapter,
         },
         catalog::{EngineSpec, ModelSpec},
     },
@@ -111,7 +112,7 @@
         let due = due.filter_map(|(asked, wish)| {
             wish.is_due(now).then(|| asked.clone())
         });
-        let due: Vec<Asked> = due.collect();
+        let due: Vec<BoundVariant> = due.collect();
         for asked in due {
             self.place_adapter(now, service, spec, demand, &asked);
         }
@@ -123,9 +124,9 @@
         service: &ServiceName,
         spec: &EngineSpec,
         demand: &DemandSum,
-        asked: &Asked,
+        asked: &BoundVariant,
     ) {
-        let Asked { bound, variant } = asked;
+        let BoundVariant { bound, variant } = asked;
         if self.is_there(service, bound, variant) {
             self.wishes.remove(asked);
             return;
@@ -193,7 +194,9 @@
         });
         let Some(variant) = missing.next() else { return false };
         let hosts = self.hosts(now, service, &anywhere, &model.name);
-        let Some(engine) = roomiest_host(&hosts, &model.name, spec) else {
+        let Some(engine) =
+            roomiest_host(&hosts, &model.name, spec)
+        else {
             return false;
         };
         let engine = engine.clone();
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -27,11 +27,11 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EngineHolding, EvacuationView, KnownUpstreams,
+        BoundVariant, Catalog, EngineHolding, EvacuationView, KnownUpstreams,
         Listing, RegionBound, Upstream, UpstreamStart, Variant,
-        asked::BoundUse,
+        bound_usage::BoundUsage,
         catalog::EngineSpec,
-        peaks::Peaks,
+        peak_demand::PeakDemand,
         rest::Rests,
         topology::Topology,
         upstream_limit::UpstreamLimits,
@@ -106,13 +106,13 @@
     questions: usize,
     /// Data centres that are to be empty.
     emptied: BTreeSet<DataCentreId>,
-    wishes: BTreeMap<Asked, Wish>,
+    wishes: BTreeMap<BoundVariant, Wish>,
     bringing: BTreeMap<ServiceName, Bringing>,
     /// Models of each service that no sound engine holds, or none inside a
     /// bound in which they are used, and since when.
     lost: BTreeMap<ServiceName, LostModels>,
     /// Which models are used inside which bounds.
-    bound_use: BoundUse,
+    bound_use: BoundUsage,
     /// Adapters about which orders are under way.
     ordered_now: BTreeSet<Variant>,
     /// When models were planned last.
@@ -122,7 +122,7 @@
     held_back: bool,
     /// Which service plans first the next time.
     turn: usize,
-    peaks: BTreeMap<ServiceName, BTreeMap<RegionBound, Peaks>>,
+    peaks: BTreeMap<ServiceName, BTreeMap<RegionBound, PeakDemand>>,
     topology: Topology,
     load_window_s: f64,
     mechanisms: MechanismSettings,
@@ -156,7 +156,7 @@
             held_back: false,
             turn: 0,
             peaks: BTreeMap::new(),
-            bound_use: BoundUse::default(),
+            bound_use: BoundUsage::default(),
             topology,
             load_window_s,
             mechanisms,
@@ -206,9 +206,9 @@
     }
 
     /// Takes in that a request waits for a variant inside its bound.
-    pub(super) fn wished(&mut self, asked: Asked, now: Millis) {
-        let Asked { bound, variant } = &asked;
-        self.bound_use.note(bound, &variant.model, now);
+    pub(super) fn wished(&mut self, asked: BoundVariant, now: Millis) {
+        let BoundVariant { bound, variant } = &asked;
+        self.bound_use.record(bound, &variant.model, now);
         let topology = &self.topology;
         // Who wishes for what is there has not been told.
         for id in self.holders.of(&variant.model) {
@@ -345,10 +345,10 @@
     fn note_bound_use(&mut self, demand: &DemandSum, now: Millis) {
         for (bound, variants) in demand {
             for variant in variants.keys() {
-                self.bound_use.note(bound, &variant.model, now);
+                self.bound_use.record(bound, &variant.model, now);
             }
         }
-        self.bound_use.pass(now);
+        self.bound_use.prune(now);
     }
 
     /// Tells whether an engine is inside a bound.
--- a/crates/valehold-gateway/src/control/placer/tests.rs
+++ b/crates/valehold-gateway/src/control/placer/tests.rs
@@ -17,7 +17,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, EngineHolding, Holding, Listing, ModelSpec, RegionBound,
+        BoundVariant, EngineHolding, Holding, Listing, ModelSpec, RegionBound,
         Upstream, UpstreamStart, Variant, catalog::EngineSpec,
         topology::Topology,
     },
@@ -389,7 +389,7 @@
             let variant = |model| Variant::adapted(model, "a1");
             for model in ["alpha", "beta", "gamma"] {
                 let (bound, variant) = (bound.clone(), variant(model));
-                placer.wished(Asked { bound, variant }, at(1_000));
+                placer.wished(BoundVariant { bound, variant }, at(1_000));
             }
             placer.place_adapters(at(1_000), &service, &spec, &demand);
             // One engine has the first already, and none is declared the last.
--- a/crates/valehold-gateway/src/peers/message.rs
+++ b/crates/valehold-gateway/src/peers/message.rs
@@ -11,8 +11,8 @@
 use thiserror::Error;
 use valehold_core::{
     fleet::{
-        Asked, Catalog, EngineHolding, Evacuations, ListingDelta, RegionBound,
-        UpstreamStart, Variant,
+        BoundVariant, Catalog, EngineHolding, Evacuations, ListingDelta,
+        RegionBound, UpstreamStart, Variant,
         cold::{RightAnswer, RightAsk},
         crashes::CrashWords,
         paces::{PaceNews, PaceObservation},
@@ -425,7 +425,7 @@
     /// A gateway's word about itself.
     Heartbeat(Box<Heartbeat>),
     /// To the holder: a request waits for this variant.
-    Wish(Asked),
+    Wish(BoundVariant),
     /// From the holder: what engines hold since its last orders.
     Holdings(Vec<EngineHolding>),
     /// From an observer: changes of the platform's list.
--- a/crates/valehold-gateway/src/shared.rs
+++ b/crates/valehold-gateway/src/shared.rs
@@ -8,7 +8,7 @@
 use arc_swap::ArcSwap;
 use tokio::sync::{mpsc, watch};
 use valehold_core::fleet::{
-    Asked, UpstreamStart,
+    BoundVariant, UpstreamStart,
     cold::{ColdBook, RightAsk},
     crashes::CrashBook,
     paces::{PaceObservation, Paces},
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct Wishes {
     /// Variants that no engine holds.
-    pub variants: mpsc::Receiver<Asked>,
+    pub variants: mpsc::Receiver<BoundVariant>,
     /// Rights to send to cold upstreams.
     pub rights: mpsc::Receiver<RightAsk>,
     /// Upstreams that said that they leave.
@@ -88,15 +88,15 @@
     pub paces: ArcSwap<Paces>,
     loads: Mutex<BTreeMap<UpstreamStart, Load>>,
     seen_paces: Mutex<Vec<PaceObservation>>,
-    work: Mutex<BTreeMap<Asked, Work>>,
-    running: Mutex<BTreeMap<Asked, u32>>,
+    work: Mutex<BTreeMap<BoundVariant, Work>>,
+    running: Mutex<BTreeMap<BoundVariant, u32>>,
     usage: Mutex<UsageMeter>,
     cold: Mutex<ColdBook>,
     rests: Mutex<Rests>,
     upstream_limits: Mutex<UpstreamLimits>,
     crashes: Mutex<CrashBook>,
     crash_changes: watch::Sender<u64>,
-    wishes: mpsc::Sender<Asked>,
+    wishes: mpsc::Sender<BoundVariant>,
     right_asks: mpsc::Sender<RightAsk>,
     leaving_words: mpsc::Sender<UpstreamStart>,
     limit_words: mpsc::Sender<UpstreamStart>,
@@ -148,7 +148,7 @@
     /// Asks control for a variant that no engine inside its bound holds.
     ///
     /// A wish that finds no room is lost; who waits wishes again.
-    pub fn wish(&self, asked: &Asked) {
+    pub fn wish(&self, asked: &BoundVariant) {
         let _ = self.wishes.try_send(asked.clone());
     }
 
@@ -222,12 +222,12 @@
     }
 
     /// The work that came since control last took it.
-    pub fn work(&self) -> MutexGuard<'_, BTreeMap<Asked, Work>> {
+    pub fn work(&self) -> MutexGuard<'_, BTreeMap<BoundVariant, Work>> {
         self.work.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// How many requests for each variant this gateway has under way.
-    pub fn running(&self) -> MutexGuard<'_, BTreeMap<Asked, u32>> {
+    pub fn running(&self) -> MutexGuard<'_, BTreeMap<BoundVariant, u32>> {
         self.running.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/valehold-gateway/src/traffic/route.rs
+++ b/crates/valehold-gateway/src/traffic/route.rs
@@ -9,7 +9,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, RegionBound, Route,
+        BoundVariant, Catalog, RegionBound, Route,
         catalog::{ColdSpec, EngineSpec},
         crashes::RequestContent,
         workspace::Workspace,
@@ -85,9 +85,9 @@
     }
 
     /// Returns which variant it asks for, inside its bound.
-    pub(super) fn asked(&self) -> Option<Asked> {
+    pub(super) fn asked(&self) -> Option<BoundVariant> {
         let variant = self.request.variant.clone()?;
-        Some(Asked { bound: self.bound.clone(), variant })
+        Some(BoundVariant { bound: self.bound.clone(), variant })
     }
 
     /// Returns how urgent it is, 0 being the most: by the rank of its
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -10,7 +10,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, UpstreamStart, Variant,
+        BoundVariant, UpstreamStart, Variant,
         health::Health,
         pace::Pace,
         paces::{LogRatio, PaceObservation},
@@ -275,7 +275,7 @@
     pub(super) fn under_way(
         &self,
         upstream: &UpstreamStart,
-        asked: Option<Asked>,
+        asked: Option<BoundVariant>,
         tokens: u64,
     ) -> UnderWay {
         if let Some(asked) = &asked {
@@ -299,7 +299,7 @@
 pub(super) struct UnderWay {
     shared: Arc<Shared>,
     upstream: UpstreamStart,
-    asked: Option<Asked>,
+    asked: Option<BoundVariant>,
     waiting: u64,
 }
 
--- a/crates/valehold-gateway/tests/format.rs
+++ b/crates/valehold-gateway/tests/format.rs
@@ -1,7 +1,7 @@
 //! What gateways of two versions make of each other's bytes.
 
 use googletest::prelude::*;
-use valehold_core::fleet::{Asked, RegionBound, Variant};
+use valehold_core::fleet::{BoundVariant, RegionBound, Variant};
 use valehold_gateway::peers::{
     Message,
     message::{FORMAT, MAX_DATAGRAM, MessageError},
@@ -11,7 +11,7 @@
 
 #[gtest]
 fn a_datagram_is_read_as_it_was_written() {
-    let wish = Message::Wish(Asked {
+    let wish = Message::Wish(BoundVariant {
         bound: RegionBound::within(["north"]),
         variant: Variant::adapted("alpha", "a1"),
     });
