--- a/crates/valehold-core/src/fleet/adapters.rs
+++ b/crates/valehold-core/src/fleet/adapters.rs
@@ -1,4 +1,5 @@
-//! On which engine an adapter is loaded, and what makes way for it.
+//! Chooses the engine that loads an adapter, and the adapter that is unloaded
+//! to make room for it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,87 +13,92 @@
     time::Millis,
 };
 
-/// An engine that could hold an adapter.
+/// A candidate engine for loading an adapter.
 #[derive(Debug, Clone)]
 pub struct AdapterHost<'a> {
     /// The engine.
     pub engine: &'a UpstreamId,
-    /// What it holds.
+    /// The models and adapters that the engine holds.
     pub holding: &'a Holding,
-    /// Adapters that came only lately, and when; they do not make way yet.
-    pub young: &'a BTreeMap<Variant, Millis>,
+    /// The time at which each recently loaded adapter arrived. Adapters in
+    /// this map are not unloaded yet.
+    pub recent: &'a BTreeMap<Variant, Millis>,
 }
 
-/// How an adapter is asked for.
+/// The current demand for an adapter.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct AdapterUse {
-    /// Requests a second.
-    pub requests: f64,
-    /// Whether requests for it run: an unload would wait for them.
-    pub runs: bool,
+pub struct AdapterUsage {
+    /// Requests per second for the adapter.
+    pub requests_per_second: f64,
+    /// Whether requests for the adapter are running. An unload would have to
+    /// wait until those requests end.
+    pub is_running: bool,
 }
 
-/// What to do so that an adapter gets to an engine.
+/// The next step that brings an adapter to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdapterStep {
-    /// Load it there.
+    /// Load the adapter on this engine.
     Load(UpstreamId),
-    /// Take another one away first.
+    /// First unload another adapter.
     MakeRoom {
         /// The engine.
         engine: UpstreamId,
-        /// What makes way.
+        /// The adapter to unload.
         victim: Variant,
     },
 }
 
-/// Decides the next step for an adapter that no engine holds.
+/// Returns the next step for an adapter that no engine holds, or `None` if no
+/// engine can take the adapter now.
 ///
-/// `use_of` tells how a variant is asked for. The engines' order for an
-/// adapter is fixed by rendezvous, so that it comes back to where it was
-/// before; an engine with a free place goes first.
+/// `usage_of` returns the current demand for a variant. Of the engines with
+/// room, the one with the fewest adapters loads the adapter. If no engine has
+/// room, the adapter with the fewest requests is unloaded first. Ties are
+/// broken by rendezvous hashing, so that an adapter returns to the engine that
+/// held it before.
 pub fn place_adapter(
     variant: &Variant,
     hosts: &[AdapterHost<'_>],
     spec: &EngineSpec,
-    use_of: impl Fn(&Variant) -> AdapterUse,
+    usage_of: impl Fn(&Variant) -> AdapterUsage,
 ) -> Option<AdapterStep> {
     let key = variant.to_string();
-    let mut able: Vec<&AdapterHost<'_>> = hosts
+    let mut candidates: Vec<&AdapterHost<'_>> = hosts
         .iter()
         .filter(|host| host.holding.models.contains_key(&variant.model))
         .collect();
-    able.sort_by_key(|host| {
+    candidates.sort_by_key(|host| {
         let weight = rendezvous::weight(&key, host.engine.as_str());
         std::cmp::Reverse(weight)
     });
-    let free = able
+    let free = candidates
         .iter()
         .filter(|host| has_room(host.holding, &variant.model, spec))
         .min_by_key(|host| host.holding.adapters());
     if let Some(host) = free {
         return Some(AdapterStep::Load(host.engine.clone()));
     }
-    let victims = able.iter().filter_map(|host| {
-        let (victim, used) = least_used(host, &use_of)?;
-        Some((host, victim, used))
+    let victims = candidates.iter().filter_map(|host| {
+        let (victim, requests) = least_used(host, &usage_of)?;
+        Some((host, victim, requests))
     });
     let (host, victim, _) =
         victims.min_by(|(_, _, a), (_, _, b)| a.total_cmp(b))?;
     Some(AdapterStep::MakeRoom { engine: host.engine.clone(), victim })
 }
 
-/// Finds the engine with the fewest adapters that holds a model and has room
-/// for another of its adapters.
-pub fn roomiest_host<'a>(
+/// Returns the engine with the fewest adapters among those that hold a model
+/// and have room for another adapter of the model, or `None` if there is none.
+pub fn host_with_fewest_adapters<'a>(
     hosts: &[AdapterHost<'a>],
     model: &ModelName,
     spec: &EngineSpec,
 ) -> Option<&'a UpstreamId> {
-    let holding =
+    let holders =
         hosts.iter().filter(|host| host.holding.models.contains_key(model));
-    let roomy = holding.filter(|host| has_room(host.holding, model, spec));
-    let best = roomy.min_by_key(|host| host.holding.adapters());
+    let with_room = holders.filter(|host| has_room(host.holding, model, spec));
+    let best = with_room.min_by_key(|host| host.holding.adapters());
     best.map(|host| host.engine)
 }
 
@@ -101,27 +107,32 @@
         return false;
     }
     let size = spec.model(model).map_or(0, |model| model.adapter_size_mb);
-    taken_mb(holding, spec) + size <= spec.memory_mb
+    used_mb(holding, spec) + size <= spec.memory_mb
 }
 
-/// Returns the memory that an engine's models and adapters take, in MB.
-pub fn taken_mb(holding: &Holding, spec: &EngineSpec) -> u64 {
-    let one = |(name, adapters): (&ModelName, &BTreeSet<AdapterName>)| {
+/// Returns the memory that an engine's models and adapters use, in MB.
+///
+/// Models that `spec` does not declare count as 0.
+pub fn used_mb(holding: &Holding, spec: &EngineSpec) -> u64 {
+    let size_of = |(name, adapters): (&ModelName, &BTreeSet<AdapterName>)| {
         spec.model(name).map_or(0, |model| {
             model.size_mb + model.adapter_size_mb * adapters.len() as u64
         })
     };
-    holding.models.iter().map(one).sum()
+    holding.models.iter().map(size_of).sum()
 }
 
+/// Returns the adapter with the fewest requests that may be unloaded from an
+/// engine, with its requests per second.
 fn least_used(
     host: &AdapterHost<'_>,
-    use_of: impl Fn(&Variant) -> AdapterUse,
+    usage_of: impl Fn(&Variant) -> AdapterUsage,
 ) -> Option<(Variant, f64)> {
     let all = host.holding.adapted();
-    let old = all.filter(|variant| !host.young.contains_key(variant));
-    old.map(|variant| (use_of(&variant), variant))
-        .filter(|(used, _)| !used.runs)
-        .map(|(used, variant)| (variant, used.requests))
+    let settled = all.filter(|variant| !host.recent.contains_key(variant));
+    settled
+        .map(|variant| (usage_of(&variant), variant))
+        .filter(|(usage, _)| !usage.is_running)
+        .map(|(usage, variant)| (variant, usage.requests_per_second))
         .min_by(|(_, a), (_, b)| a.total_cmp(b))
 }
--- a/crates/valehold-core/src/fleet/tests/adapters.rs
+++ b/crates/valehold-core/src/fleet/tests/adapters.rs
@@ -1,4 +1,4 @@
-//! Where an adapter goes, and what makes way.
+//! Tests of the placement of adapters and the choice of adapters to unload.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,8 @@
     fleet::{
         Variant,
         adapters::{
-            AdapterHost, AdapterStep, AdapterUse, place_adapter, roomiest_host,
+            AdapterHost, AdapterStep, AdapterUsage, host_with_fewest_adapters,
+            place_adapter,
         },
     },
     id::{ModelName, UpstreamId},
@@ -20,65 +21,75 @@
     Variant::adapted("m0", adapter)
 }
 
-fn unused(_: &Variant) -> AdapterUse {
-    AdapterUse::default()
+fn no_usage(_: &Variant) -> AdapterUsage {
+    AdapterUsage::default()
 }
 
 #[gtest]
-fn a_free_place_goes_first() {
+fn an_engine_with_a_free_place_is_preferred() {
     let (full, free) =
         (holding(&[("m0", &["a1", "a2"])]), holding(&[("m0", &["a3"])]));
     let (one, two) = (UpstreamId::new("e1"), UpstreamId::new("e2"));
-    let young = BTreeMap::new();
+    let recent = BTreeMap::new();
     let hosts = [
-        AdapterHost { engine: &one, holding: &full, young: &young },
-        AdapterHost { engine: &two, holding: &free, young: &young },
+        AdapterHost { engine: &one, holding: &full, recent: &recent },
+        AdapterHost { engine: &two, holding: &free, recent: &recent },
     ];
-    let step = place_adapter(&adapted("a4"), &hosts, &spec(3), unused);
+    let step = place_adapter(&adapted("a4"), &hosts, &spec(3), no_usage);
     expect_that!(step, some(eq(&AdapterStep::Load(two.clone()))));
 }
 
 #[gtest]
-fn what_is_in_use_does_not_make_way() {
+fn adapters_in_use_or_recently_loaded_are_not_unloaded() {
     let full = holding(&[("m0", &["a1", "a2"])]);
     let one = UpstreamId::new("e1");
-    let young = BTreeMap::new();
-    let hosts = [AdapterHost { engine: &one, holding: &full, young: &young }];
-    let use_of = |running: &'static [&str]| {
+    let recent = BTreeMap::new();
+    let hosts =
+        [AdapterHost { engine: &one, holding: &full, recent: &recent }];
+    let usage_of = |running: &'static [&str]| {
         move |variant: &Variant| {
             let name = variant.adapter.as_ref().unwrap().as_str();
-            let requests = if name == "a2" { 9.0 } else { 0.1 };
-            AdapterUse { requests, runs: running.contains(&name) }
+            let requests_per_second = if name == "a2" { 9.0 } else { 0.1 };
+            AdapterUsage {
+                requests_per_second,
+                is_running: running.contains(&name),
+            }
         }
     };
     let step =
-        place_adapter(&adapted("a4"), &hosts, &spec(3), use_of(&["a1"]));
+        place_adapter(&adapted("a4"), &hosts, &spec(3), usage_of(&["a1"]));
     let expected =
         AdapterStep::MakeRoom { engine: one.clone(), victim: adapted("a2") };
     expect_that!(step, some(eq(&expected)));
-    let step =
-        place_adapter(&adapted("a4"), &hosts, &spec(3), use_of(&["a1", "a2"]));
+    let step = place_adapter(
+        &adapted("a4"),
+        &hosts,
+        &spec(3),
+        usage_of(&["a1", "a2"]),
+    );
     expect_that!(step, none());
-    // One that came lately does not make way either.
-    let young = BTreeMap::from([(adapted("a2"), Millis::new(1))]);
-    let hosts = [AdapterHost { engine: &one, holding: &full, young: &young }];
+    // A recently loaded adapter is not unloaded either.
+    let recent = BTreeMap::from([(adapted("a2"), Millis::new(1))]);
+    let hosts =
+        [AdapterHost { engine: &one, holding: &full, recent: &recent }];
     let step =
-        place_adapter(&adapted("a4"), &hosts, &spec(3), use_of(&["a1"]));
+        place_adapter(&adapted("a4"), &hosts, &spec(3), usage_of(&["a1"]));
     expect_that!(step, none());
 }
 
 #[gtest]
-fn an_adapter_needs_its_model() {
+fn an_adapter_is_not_placed_on_an_engine_without_its_model() {
     let other = holding(&[("m1", &[])]);
     let one = UpstreamId::new("e1");
-    let young = BTreeMap::new();
-    let hosts = [AdapterHost { engine: &one, holding: &other, young: &young }];
-    let step = place_adapter(&adapted("a1"), &hosts, &spec(3), unused);
+    let recent = BTreeMap::new();
+    let hosts =
+        [AdapterHost { engine: &one, holding: &other, recent: &recent }];
+    let step = place_adapter(&adapted("a1"), &hosts, &spec(3), no_usage);
     expect_that!(step, none());
 }
 
 #[gtest]
-fn the_engine_with_the_fewest_adapters_takes_another() {
+fn the_engine_with_the_fewest_adapters_and_room_is_chosen() {
     let model = ModelName::new("m1");
     let (one, two) = (UpstreamId::new("e1"), UpstreamId::new("e2"));
     let three = UpstreamId::new("e3");
@@ -86,16 +97,26 @@
     let fewer = holding(&[("m1", &[])]);
     let full = holding(&[("m1", &["a1", "a2"])]);
     let other = holding(&[("m0", &[])]);
-    let young = BTreeMap::new();
+    let recent = BTreeMap::new();
     let host =
-        |engine, holding| AdapterHost { engine, holding, young: &young };
+        |engine, holding| AdapterHost { engine, holding, recent: &recent };
     let hosts =
         [host(&one, &one_adapter), host(&two, &fewer), host(&three, &full)];
     let spec = spec(3);
-    expect_that!(roomiest_host(&hosts, &model, &spec), some(eq(&two)));
-    expect_that!(roomiest_host(&hosts[..1], &model, &spec), some(eq(&one)));
-    // Neither one whose places are taken, nor one without the model.
-    expect_that!(roomiest_host(&hosts[2..], &model, &spec), none());
+    expect_that!(
+        host_with_fewest_adapters(&hosts, &model, &spec),
+        some(eq(&two))
+    );
+    expect_that!(
+        host_with_fewest_adapters(&hosts[..1], &model, &spec),
+        some(eq(&one))
+    );
+    // An engine without a free place is not chosen, nor is an engine without
+    // the model.
+    expect_that!(
+        host_with_fewest_adapters(&hosts[2..], &model, &spec),
+        none()
+    );
     let hosts = [host(&one, &other)];
-    expect_that!(roomiest_host(&hosts, &model, &spec), none());
+    expect_that!(host_with_fewest_adapters(&hosts, &model, &spec), none());
 }
--- a/crates/valehold-core/src/fleet/tests/replicas.rs
+++ b/crates/valehold-core/src/fleet/tests/replicas.rs
@@ -8,7 +8,7 @@
 use crate::{
     fleet::{
         Holding, ModelSpec,
-        adapters::taken_mb,
+        adapters::used_mb,
         catalog::EngineSpec,
         replicas::{EngineState, LoadSource, ModelNeed, ReplicaStep, plan},
     },
@@ -139,7 +139,7 @@
                 prop_assert!(now >= before.min(1), "{} was lost", model.name);
             }
             for engine in &engines {
-                prop_assert!(taken_mb(&engine.holding, &spec) <= 220);
+                prop_assert!(used_mb(&engine.holding, &spec) <= 220);
             }
         }
     }
@@ -423,7 +423,7 @@
                 carry_out(&mut engines, step);
             }
             for engine in &engines {
-                prop_assert!(taken_mb(&engine.holding, &spec) <= 220);
+                prop_assert!(used_mb(&engine.holding, &spec) <= 220);
             }
         }
         for model in asked.keys() {
--- a/crates/valehold-core/src/fleet/tests/replicas_in_bounds.rs
+++ b/crates/valehold-core/src/fleet/tests/replicas_in_bounds.rs
@@ -9,7 +9,7 @@
 use crate::{
     fleet::{
         Holding, RegionBound,
-        adapters::taken_mb,
+        adapters::used_mb,
         catalog::EngineSpec,
         replicas::{
             EngineState, LoadSource, ModelNeed, ModelNeeds, Needs,
@@ -195,7 +195,7 @@
                     engine.sound
                         && is_inside(bound, engine)
                         && !steps.iter().any(|s| *engine_of(s) == engine.id)
-                        && taken_mb(&engine.holding, &spec) + 70 <= 220
+                        && used_mb(&engine.holding, &spec) + 70 <= 220
                 };
                 let loads = steps.len();
                 prop_assert!(
@@ -204,7 +204,7 @@
                 );
             }
             for engine in &engines {
-                prop_assert!(taken_mb(&engine.holding, &spec) <= 220);
+                prop_assert!(used_mb(&engine.holding, &spec) <= 220);
             }
         }
     }
--- a/crates/valehold-gateway/src/control/placer/adapters.rs
+++ b/crates/valehold-gateway/src/control/placer/adapters.rs
@@ -10,7 +10,7 @@
     fleet::{
         BoundVariant, RegionBound, Variant,
         adapters::{
-            AdapterHost, AdapterStep, AdapterUse, roomiest_host,
+            AdapterHost, AdapterStep, AdapterUsage, host_with_fewest_adapters,
             place_adapter,
         },
         catalog::{EngineSpec, ModelSpec},
@@ -195,7 +195,7 @@
         let Some(variant) = missing.next() else { return false };
         let hosts = self.hosts(now, service, &anywhere, &model.name);
         let Some(engine) =
-            roomiest_host(&hosts, &model.name, spec)
+            host_with_fewest_adapters(&hosts, &model.name, spec)
         else {
             return false;
         };
@@ -233,7 +233,7 @@
             .map(|(id, entry)| AdapterHost {
                 engine: id,
                 holding: &entry.holding,
-                young: &entry.arrivals,
+                recent: &entry.arrivals,
             })
             .collect()
     }
@@ -255,11 +255,11 @@
     }
 }
 
-fn use_of(demand: &DemandSum, variant: &Variant) -> AdapterUse {
-    let mut used = AdapterUse::default();
+fn use_of(demand: &DemandSum, variant: &Variant) -> AdapterUsage {
+    let mut used = AdapterUsage::default();
     for one in demand.values().filter_map(|variants| variants.get(variant)) {
-        used.requests += f64::from(one.requests);
-        used.runs |= one.running > 0;
+        used.requests_per_second += f64::from(one.requests);
+        used.is_running |= one.running > 0;
     }
     used
 }
--- a/crates/valehold-gateway/src/control/placer/orders.rs
+++ b/crates/valehold-gateway/src/control/placer/orders.rs
@@ -5,7 +5,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Holding, adapters::taken_mb, catalog::EngineSpec, replicas::LoadSource,
+        Holding, adapters::used_mb, catalog::EngineSpec, replicas::LoadSource,
     },
     id::UpstreamId,
 };
@@ -220,7 +220,7 @@
         OrderWish::Unload(_) => true,
         OrderWish::Load(variant) => {
             let size = spec.model(&variant.model).map(|model| model.size_mb);
-            let taken = taken_mb(holding, spec);
+            let taken = used_mb(holding, spec);
             size.is_some_and(|size| taken + size <= spec.memory_mb)
         }
     }
