--- a/crates/valehold-core/src/fleet/replicas/mod.rs
+++ b/crates/valehold-core/src/fleet/replicas/mod.rs
@@ -21,19 +21,19 @@
 //! - `need` says what models need, everywhere and inside bounds.
 //! - `claim` counts who holds a model inside a bound, and how hard it presses.
 //! - `planner` keeps the counts of engines, models and bounds.
-//! - `wanted` shares the engines' places out among claims.
-//! - `lacking` finds the claims that lack engines, and orders loads.
+//! - `targets` shares the engines' places out among claims.
+//! - `shortfall` finds the claims that lack engines, and orders loads.
 //! - `room` chooses the engine for a load, and what makes way for it.
-//! - `moving` makes room inside a bound where each model there is the last of
+//! - `relocation` makes room inside a bound where each model there is the last of
 //!   its kind: one of them is loaded outside of the bound first.
 
 mod claim;
-mod lacking;
-mod moving;
 mod need;
 mod planner;
+mod relocation;
 mod room;
-mod wanted;
+mod shortfall;
+mod targets;
 
 use std::collections::BTreeSet;
 
