--- a/crates/valehold-core/src/fleet/catalog.rs
+++ b/crates/valehold-core/src/fleet/catalog.rs
@@ -72,8 +72,8 @@
     /// Picks the service for a request by weight, or returns `None` if the
     /// route has no targets.
     ///
-    /// `draw` is a random number from 0 to 1. A target without weight is picked
-    /// only if no target has a weight.
+    /// `draw` is a random number from 0 to 1. A target without weight is
+    /// picked only if no target has a weight.
     pub fn service(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.targets.iter().map(|t| t.weight).sum();
         let mut left = draw * f64::from(total);
@@ -144,8 +144,8 @@
 pub struct Service {
     /// The specification of the engines; `None` for plain processes.
     pub engine: Option<EngineSpec>,
-    /// The limits of cold upstreams; `None` if upstreams are never cold or have
-    /// no lower limit while cold.
+    /// The limits of cold upstreams; `None` if upstreams are never cold, or
+    /// can take as many requests while cold as otherwise.
     pub cold: Option<ColdSpec>,
 }
 
@@ -173,8 +173,8 @@
     pub services: BTreeMap<ServiceName, Service>,
     /// The limits on the size and timing of requests.
     pub limits: CallerLimits,
-    /// The workspaces whose callers may use the routes; with `None`, any caller
-    /// may use the routes.
+    /// The workspaces whose callers may use the routes; with `None`, any
+    /// caller may use the routes.
     pub workspaces: Option<Workspaces>,
 }
 
@@ -249,8 +249,9 @@
         routes.map(|route| &route.bound)
     }
 
-    /// Returns the pairs of a route and a workspace whose bounds have no region
-    /// in common: no request of the workspace to the route can be served.
+    /// Returns the pairs of a route and a workspace whose bounds have no
+    /// region in common: no request of the workspace to the route can be
+    /// served.
     pub fn empty_bounds(&self) -> impl Iterator<Item = (&Route, &Workspace)> {
         let workspaces = self.workspaces.iter().flat_map(Workspaces::iter);
         workspaces.flat_map(move |workspace| {
--- a/crates/valehold-core/src/fleet/tests/bound.rs
+++ b/crates/valehold-core/src/fleet/tests/bound.rs
@@ -13,8 +13,8 @@
     let within = prop::collection::btree_set(0..REGIONS.len(), 0..4);
     prop_oneof![
         1 => Just(RegionBound::Anywhere),
-        3 => within.prop_map(|indexes| {
-            RegionBound::within(indexes.into_iter().map(|index| REGIONS[index]))
+        3 => within.prop_map(|set| {
+            RegionBound::within(set.into_iter().map(|index| REGIONS[index]))
         }),
     ]
 }
@@ -72,7 +72,10 @@
         a in bound(), b in bound(), c in bound(),
     ) {
         prop_assert_eq!(a.intersection(&b), b.intersection(&a));
-        prop_assert_eq!(a.intersection(&b).intersection(&c), a.intersection(&b.intersection(&c)));
+        prop_assert_eq!(
+            a.intersection(&b).intersection(&c),
+            a.intersection(&b.intersection(&c))
+        );
         prop_assert_eq!(a.intersection(&a), a.clone());
         prop_assert_eq!(a.intersection(&RegionBound::Anywhere), a);
     }
