--- a/crates/valehold-core/examples/plan_time.rs
+++ b/crates/valehold-core/examples/plan_time.rs
@@ -1,4 +1,4 @@
-//! How long a plan of replicas takes, by the size of the fleet.
+//! Measures the time that a replica plan takes, by the size of the fleet.
 //!
 //! `cargo run --release -p valehold-core --example plan_time`
 
@@ -11,17 +11,20 @@
     fleet::{
         Holding, ModelSpec, RegionBound,
         catalog::EngineSpec,
-        replicas::{EngineState, ModelNeed, ModelNeeds, Needs, plan_by_place},
+        replicas::{
+            EngineState, ModelNeed, ModelNeeds, Needs, plan_with_bounds,
+        },
         topology::Topology,
     },
     id::{AdapterName, DataCentreId, ModelName, RegionId, UpstreamId},
 };
 
-/// Engines and models: the users' deployments and their target.
+/// The numbers of engines and models: the sizes of the users' deployments, and
+/// the target size.
 const SIZES: [(usize, usize); 4] =
     [(18, 39), (140, 305), (240, 399), (1_500, 560)];
 
-/// How often each plan is made; the least time counts.
+/// The number of times that each plan is made; the shortest time is printed.
 const ROUNDS: usize = 9;
 
 fn name(number: usize) -> ModelName {
@@ -45,9 +48,10 @@
     }
 }
 
-/// Each engine holds three models, the first ones on more engines.
+/// Returns engines that hold three models each, in turn, so that the first
+/// models may have more replicas.
 fn engines(count: usize, models: usize) -> Vec<EngineState> {
-    let of = |engine: usize| {
+    let state = |engine: usize| {
         let held = (0..3).map(|place| (engine * 3 + place) % models);
         let held = held.map(|model| (name(model), BTreeSet::new()));
         EngineState {
@@ -55,26 +59,27 @@
             data_centre: DataCentreId::new(format!("dc-{}", engine % 6)),
             holding: Holding { sequence: 9, models: held.collect() },
             loading: None,
-            busy: false,
-            sound: true,
+            has_pending_order: false,
+            is_available: true,
             copies: BTreeSet::new(),
-            is_counted: false,
-            load: (engine % 40) as f64,
+            has_counted_load: false,
+            running_requests: (engine % 40) as f64,
         }
     };
-    (0..count).map(of).collect()
+    (0..count).map(state).collect()
 }
 
-/// Every tenth model has just become ten times as busy as the others.
+/// Returns needs in which every tenth model keeps 4 engines busy, and the
+/// others 0.2.
 fn needs(models: usize) -> ModelNeeds {
     let need = |number: usize| ModelNeed {
-        busy: if number.is_multiple_of(10) { 4.0 } else { 0.2 },
+        busy_engines: if number.is_multiple_of(10) { 4.0 } else { 0.2 },
         ..ModelNeed::default()
     };
     (0..models).map(|number| (name(number), need(number))).collect()
 }
 
-/// Six data centres in three regions.
+/// Returns a topology of six data centres in three regions.
 fn topology() -> Topology {
     let region = |number: usize| {
         let data_centre = DataCentreId::new(format!("dc-{number}"));
@@ -83,36 +88,38 @@
     Topology::new(DataCentreId::new("dc-0"), (0..6).map(region).collect())
 }
 
-/// Each third of the models is used inside one region by a half of its
-/// requests.
+/// Returns bounds of one region each: a third of the models is used inside
+/// each region, by half of the requests for the model.
 fn bounds(needs: &ModelNeeds) -> BTreeMap<RegionBound, ModelNeeds> {
     let mut bounds: BTreeMap<RegionBound, ModelNeeds> = BTreeMap::new();
     for (number, (model, need)) in needs.iter().enumerate() {
         let region = format!("region-{}", number % 3);
-        let half = ModelNeed { busy: need.busy / 2.0, ..*need };
+        let half =
+            ModelNeed { busy_engines: need.busy_engines / 2.0, ..*need };
         let inside = bounds.entry(RegionBound::within([region])).or_default();
         inside.insert(model.clone(), half);
     }
     bounds
 }
 
-/// Returns how many steps a plan has, and the least time that it takes.
-fn time(
+/// Returns the number of steps of a plan and the shortest time that the plan
+/// took, in ms.
+fn measure(
     spec: &EngineSpec,
     needs: &Needs,
     engines: &[EngineState],
 ) -> (usize, f64) {
     let topology = topology();
-    let mut least_ms = f64::MAX;
+    let mut shortest_ms = f64::MAX;
     let mut steps = 0;
     for _ in 0..ROUNDS {
         let began = Instant::now();
-        let plan = plan_by_place(spec, needs, engines, Some(&topology), 60);
+        let plan = plan_with_bounds(spec, needs, engines, Some(&topology), 60);
         let took_ms = began.elapsed().as_secs_f64() * 1_000.0;
-        least_ms = least_ms.min(took_ms);
+        shortest_ms = shortest_ms.min(took_ms);
         steps = plan.len();
     }
-    (steps, least_ms)
+    (steps, shortest_ms)
 }
 
 fn main() {
@@ -124,7 +131,7 @@
         let bounds = bounds(&everywhere);
         let unbound = Needs::from(everywhere.clone());
         for needs in [unbound, Needs { everywhere, bounds }] {
-            let (steps, ms) = time(&spec, &needs, &engines);
+            let (steps, ms) = measure(&spec, &needs, &engines);
             let bounds = needs.bounds.len();
             println!(
                 "{engine_count:7} {model_count:7} {bounds:7} {steps:6}  {ms:.1}"
--- a/crates/valehold-core/src/fleet/replicas/claim.rs
+++ b/crates/valehold-core/src/fleet/replicas/claim.rs
@@ -1,84 +1,106 @@
-//! What a model claims: engines anywhere, or inside one bound.
+//! Claims: the requirement of a model for replicas, on any engine or inside
+//! one bound.
+//!
+//! The pressure of a claim is a measure of the need for replicas. It is the
+//! share of each engine's time that requests for the model take, or a value
+//! for the use of places for adapters, whichever is greater.
 
 use super::need::ModelNeed;
 
-/// How hard adapters that take all places of a model's engines press, against
-/// requests that keep the engines wholly busy.
-const FULL_PLACES_PRESS: f64 = 0.5;
+/// The pressure of adapters that use all adapter places of a model's engines.
+/// Requests that keep the engines fully busy have a pressure of 1.
+const FULL_ADAPTER_PLACES_PRESSURE: f64 = 0.5;
 
-/// How hard a model presses at the least that no engine holds.
-const LOST_PRESSES: f64 = 0.6;
+/// The minimum pressure of a model that no available engine holds.
+const MIN_MISSING_PRESSURE: f64 = 0.6;
 
-/// By how much harder it presses with each second.
-const LOST_PRESSES_EACH_S: f64 = 0.4;
+/// The increase of that pressure with each second without a holder.
+const MISSING_PRESSURE_PER_S: f64 = 0.4;
 
-/// How many times as hard its requests press, as none of them can run.
-const LOST_REQUESTS_PRESS: f64 = 4.0;
+/// The factor for the busy engines that the requests of such a model need.
+/// These requests count more, as none of them can run.
+const MISSING_REQUESTS_FACTOR: f64 = 4.0;
 
-/// A model's claim to engines: to any, or to those inside one bound.
+/// A model's claim to replicas: on any engine, or on engines inside one bound.
 #[derive(Debug, Clone)]
 pub(super) struct Claim {
-    /// The model, by its number in the declaration.
+    /// The index of the model in the declaration.
     pub(super) model: usize,
-    /// The bound, by its number; 0 is no bound.
+    /// The index of the bound; 0 ([`EVERYWHERE`]) contains every engine.
+    ///
+    /// [`EVERYWHERE`]: super::planner::EVERYWHERE
     pub(super) bound: usize,
-    /// What its requests need there.
+    /// The demand for the model inside the bound.
     pub(super) need: ModelNeed,
-    /// On how many engines it stays whatever presses.
-    pub(super) least: usize,
-    /// How many engines it is to have.
-    pub(super) wanted: usize,
-    /// Sound engines that hold it now.
+    /// The number of holders that no other claim may take away.
+    pub(super) min_engines: usize,
+    /// The number of engines that are to hold the model.
+    pub(super) target: usize,
+    /// The number of available engines that hold the model now.
     pub(super) resident: usize,
-    /// Those, and the ones that are loading it.
+    /// The number of available engines that hold or load the model.
     pub(super) holders: usize,
 }
 
 impl Claim {
     pub(super) fn new(model: usize, bound: usize, need: ModelNeed) -> Self {
-        let (least, wanted) = (1, 1);
-        Self { model, bound, need, least, wanted, resident: 0, holders: 0 }
+        let (min_engines, target) = (1, 1);
+        Self {
+            model,
+            bound,
+            need,
+            min_engines,
+            target,
+            resident: 0,
+            holders: 0,
+        }
     }
 
-    /// Tells whether requests ask for it.
-    pub(super) fn is_asked(&self) -> bool {
-        self.need.busy > 0.0 || self.need.adapters > 0.0
+    /// Returns whether there is any demand for the model.
+    pub(super) fn has_demand(&self) -> bool {
+        self.need.busy_engines > 0.0 || self.need.adapters_in_use > 0.0
     }
 
-    /// Gives up the place that it has whether requests ask for it or not.
-    pub(super) fn give_up_place(&mut self) {
-        self.least = 0;
-        self.wanted = 0;
+    /// Removes the guarantee of one replica that holds even without demand.
+    pub(super) fn drop_guarantee(&mut self) {
+        self.min_engines = 0;
+        self.target = 0;
     }
 
-    /// Returns how hard it presses on each of so many engines, which have so
-    /// many places for adapters each.
+    /// Returns the pressure on each of `engines` engines, with
+    /// `adapter_places` places for adapters on each engine.
     #[allow(clippy::cast_precision_loss)]
-    pub(super) fn pressure(&self, engines: usize, places: usize) -> f64 {
+    pub(super) fn pressure(
+        &self,
+        engines: usize,
+        adapter_places: usize,
+    ) -> f64 {
         let engines = engines.max(1) as f64;
-        let places = engines * places.max(1) as f64;
-        let by_adapters = self.need.adapters / places * FULL_PLACES_PRESS;
-        (self.need.busy / engines).max(by_adapters)
+        let total_places = engines * adapter_places.max(1) as f64;
+        let adapter_pressure = self.need.adapters_in_use / total_places
+            * FULL_ADAPTER_PLACES_PRESSURE;
+        (self.need.busy_engines / engines).max(adapter_pressure)
     }
 
-    /// Returns how hard it would press on each of so many engines if it were
-    /// as busy as lately.
+    /// Returns the greater of the current pressure and the pressure that the
+    /// recent peak of demand would cause.
     #[allow(clippy::cast_precision_loss)]
-    pub(super) fn lately_pressure(
+    pub(super) fn recent_pressure(
         &self,
         engines: usize,
-        places: usize,
+        adapter_places: usize,
     ) -> f64 {
-        let lately = self.need.lately / engines.max(1) as f64;
-        lately.max(self.pressure(engines, places))
+        let recent = self.need.recent_busy_engines / engines.max(1) as f64;
+        recent.max(self.pressure(engines, adapter_places))
     }
 
-    /// Returns how hard it presses where no engine holds it.
+    /// Returns the pressure of a claim without holders; the pressure grows
+    /// with time.
     #[allow(clippy::cast_precision_loss)]
-    pub(super) fn lost_pressure(&self) -> f64 {
-        let lost_s = self.need.lost_ms as f64 / 1_000.0;
-        LOST_PRESSES
-            + LOST_PRESSES_EACH_S * lost_s
-            + LOST_REQUESTS_PRESS * self.need.busy
+    pub(super) fn missing_pressure(&self) -> f64 {
+        let missing_s = self.need.missing_ms as f64 / 1_000.0;
+        MIN_MISSING_PRESSURE
+            + MISSING_PRESSURE_PER_S * missing_s
+            + MISSING_REQUESTS_FACTOR * self.need.busy_engines
     }
 }
--- a/crates/valehold-core/src/fleet/replicas/mod.rs
+++ b/crates/valehold-core/src/fleet/replicas/mod.rs
@@ -1,31 +1,36 @@
-//! How many engines hold each model, and which.
+//! Plans how many engines hold each model, and which engines these are.
 //!
-//! Every model stays on one engine at least; a model that requests use which
-//! have to stay inside a bound of regions, on one engine inside the bound.
-//! How hard a model presses on its engines is the part of their time that its
-//! requests take, or the part of their places for adapters that it needs at
-//! once, whichever is more. Places go to the models that press hardest; those
-//! with more engines than that give way, first where they are missed least.
-//! An unload is never given for the last engine that holds a model, nor for
-//! the last one inside a bound.
+//! Every model keeps a replica on at least one engine. A model that is used by
+//! requests which have to stay inside a region bound keeps a replica on at
+//! least one engine inside the bound. An unload is never planned for the last
+//! engine that holds a model, nor for the last one inside a bound.
 //!
-//! A model that no engine holds any more presses harder the longer it is
-//! gone: engines that crash are often back with their copies before another
-//! one has loaded it, and a busy model's engine is not worth that at once.
+//! Further replicas follow the pressure of each model. Pressure is the share
+//! of the engines' time that the requests for the model take, or a value for
+//! the share of adapter places that are needed at once, whichever is greater.
+//! Places go to the models with the highest pressure. Models with more
+//! replicas than their target lose replicas, first where the remaining
+//! pressure is lowest.
 //!
-//! Where more models are declared than engines have places for, those that no
-//! request asks for give up theirs: an idle model's last engine may make way
-//! for one that is asked for, and an idle one that no engine holds takes room
-//! that is free, and has none made for it.
+//! The pressure of a model that no engine holds grows with time. Engines that
+//! crash often restart with their local copies before another engine could
+//! load the model, so a replica of a busy model is not given up at once.
 //!
-//! - `need` says what models need, everywhere and inside bounds.
-//! - `claim` counts who holds a model inside a bound, and how hard it presses.
-//! - `planner` keeps the counts of engines, models and bounds.
-//! - `targets` shares the engines' places out among claims.
-//! - `shortfall` finds the claims that lack engines, and orders loads.
-//! - `room` chooses the engine for a load, and what makes way for it.
-//! - `relocation` makes room inside a bound where each model there is the last of
-//!   its kind: one of them is loaded outside of the bound first.
+//! If more models are declared than the engines have places for, models
+//! without demand lose the guarantee of one replica. The last replica of an
+//! idle model may then be unloaded for a model with demand. An idle model that
+//! no engine holds is loaded if memory is free, but no other model is unloaded
+//! for it.
+//!
+//! - `need` defines the demand for models, overall and inside bounds.
+//! - `claim` counts the holders of a model inside a bound, and computes the
+//!   pressure.
+//! - `planner` keeps the counts for engines, models and bounds.
+//! - `targets` distributes the places on engines among the claims.
+//! - `shortfall` finds the claims with too few engines, and orders loads.
+//! - `room` chooses the engine for a load and the model to unload.
+//! - `relocation` makes room inside a bound in which no model can be unloaded,
+//!   by first loading one of the models on an engine outside.
 
 mod claim;
 mod need;
@@ -44,42 +49,44 @@
 use super::{catalog::EngineSpec, listing::Holding, topology::Topology};
 use crate::id::{DataCentreId, ModelName, UpstreamId};
 
-/// What the planner knows of one engine.
+/// The state of one engine, as input for a plan.
 #[derive(Debug, Clone)]
 pub struct EngineState {
     /// The engine.
     pub id: UpstreamId,
-    /// The data centre that it stands in.
+    /// The data centre of the engine.
     pub data_centre: DataCentreId,
-    /// What it holds.
+    /// The models and adapters that the engine holds.
     pub holding: Holding,
-    /// A model that it was told to load and does not hold yet.
+    /// A model that the engine was ordered to load and does not hold yet.
     pub loading: Option<ModelName>,
-    /// Whether an order is being carried out, or may be.
-    pub busy: bool,
-    /// Whether it takes work: it is there, answers, and does not leave.
-    pub sound: bool,
-    /// Models of which it keeps copies: it loads them sooner, and without
-    /// the weight store.
+    /// Whether the engine carries out an order, or may still do so.
+    pub has_pending_order: bool,
+    /// Whether the engine accepts work: it is live, answers and is not
+    /// leaving.
+    pub is_available: bool,
+    /// The models of which the engine keeps a local copy. A load from a copy
+    /// is faster and does not use the weight store.
     pub copies: BTreeSet<ModelName>,
-    /// Whether a load from the weight store that it may yet begin is counted,
-    /// in the place of which another one may be ordered.
-    pub is_counted: bool,
-    /// How busy it is, from 0.
-    pub load: f64,
+    /// Whether the limit of the weight store already counts a load that this
+    /// engine may still begin. Another load may be ordered in place of that
+    /// load without counting again.
+    pub has_counted_load: bool,
+    /// The number of requests that run on the engine.
+    pub running_requests: f64,
 }
 
-/// Where a model comes from that an engine loads.
+/// The source from which an engine loads a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadSource {
-    /// The engine's own copy.
+    /// The local copy of the engine.
     Copy,
     /// The weight store.
     WeightStore,
 }
 
-/// A step of the plan.
+/// A step of a plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplicaStep {
     /// The engine loads the model.
@@ -88,10 +95,10 @@
         engine: UpstreamId,
         /// The model.
         model: ModelName,
-        /// Where the model comes from.
+        /// The source of the weights.
         source: LoadSource,
     },
-    /// The engine gives the model up.
+    /// The engine unloads the model.
     Unload {
         /// The engine.
         engine: UpstreamId,
@@ -100,14 +107,14 @@
     },
 }
 
-/// Below this part of an engine's time for each of its engines, a model needs
-/// no further one.
-pub const ENOUGH_BUSY: f64 = 0.06;
+/// The pressure below which a model gets no further replica: the share of the
+/// time of each engine that holds the model.
+pub const MIN_PRESSURE_FOR_REPLICA: f64 = 0.06;
 
-/// Decides the next steps, at most one for each engine, where no requests are
-/// bound to regions.
+/// Returns the next steps, at most one for each engine, if no request has a
+/// region bound.
 ///
-/// `loads` is how many loads the weight store allows now.
+/// `loads` is the number of loads that the weight store allows now.
 pub fn plan(
     spec: &EngineSpec,
     demand: &ModelNeeds,
@@ -115,15 +122,15 @@
     loads: usize,
 ) -> Vec<ReplicaStep> {
     let needs = Needs::from(demand.clone());
-    plan_by_place(spec, &needs, engines, None, loads)
+    plan_with_bounds(spec, &needs, engines, None, loads)
 }
 
-/// Decides the next steps, at most one for each engine.
+/// Returns the next steps, at most one for each engine.
 ///
-/// `topology` says which regions engines stand in; without one, no engine
-/// stands inside any bound. `loads` is how many loads the weight store allows
-/// now.
-pub fn plan_by_place(
+/// `topology` maps data centres to regions; without a topology, no engine is
+/// inside any bound. `loads` is the number of loads that the weight store
+/// allows now.
+pub fn plan_with_bounds(
     spec: &EngineSpec,
     needs: &Needs,
     engines: &[EngineState],
@@ -131,15 +138,15 @@
     loads: usize,
 ) -> Vec<ReplicaStep> {
     let mut planner = Planner::new(spec, needs, engines, topology, loads);
-    planner.want();
-    let lost = planner.lost();
-    let short = planner.short();
-    planner.load_copies(&lost);
-    planner.load_copies(&short);
-    planner.add_replicas(&lost);
-    planner.add_replicas(&short);
-    let idle = planner.idle();
+    planner.set_targets();
+    let missing = planner.missing_claims();
+    let below_target = planner.claims_below_target();
+    planner.load_copies(&missing);
+    planner.load_copies(&below_target);
+    planner.load_or_make_room(&missing);
+    planner.load_or_make_room(&below_target);
+    let idle = planner.idle_missing_claims();
     planner.load_copies(&idle);
-    planner.fill_room(&idle);
+    planner.load_into_free_memory(&idle);
     planner.into_steps()
 }
--- a/crates/valehold-core/src/fleet/replicas/need.rs
+++ b/crates/valehold-core/src/fleet/replicas/need.rs
@@ -1,5 +1,5 @@
-//! What models need: how busy they keep engines, everywhere and inside the
-//! bounds of regions that their requests are to stay in.
+//! The demand for models that a plan is made for: overall, and inside the
+//! region bounds of requests.
 
 use std::collections::BTreeMap;
 
@@ -8,28 +8,29 @@
 /// The demand for one model.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ModelNeed {
-    /// Engines that its requests keep wholly busy.
-    pub busy: f64,
-    /// Engines that its requests kept wholly busy lately: what it has is not
-    /// taken from it for a short lull.
-    pub lately: f64,
-    /// How many of its adapters are expected to be in use at once.
-    pub adapters: f64,
-    /// For how long no engine has held it, in ms.
-    pub lost_ms: u64,
+    /// The number of engines that the requests for the model keep fully busy.
+    pub busy_engines: f64,
+    /// The recent peak of `busy_engines`. With this value, a short lull in
+    /// demand does not cost the model its replicas.
+    pub recent_busy_engines: f64,
+    /// The expected number of the model's adapters that are in use at once.
+    pub adapters_in_use: f64,
+    /// How long no available engine has held the model, in ms.
+    pub missing_ms: u64,
 }
 
 /// The demand for each model.
 pub type ModelNeeds = BTreeMap<ModelName, ModelNeed>;
 
-/// The demand for all models, by where it has to be served.
+/// The demand for all models, overall and inside bounds.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Needs {
-    /// What all requests need, wherever they may be served.
+    /// The demand of all requests, whatever their bounds.
     pub everywhere: ModelNeeds,
-    /// What those need that have to stay inside a bound, those of narrower
-    /// bounds among them. A model that is listed under a bound is to be held
-    /// inside it, also if its demand is over.
+    /// The demand of the requests that have to stay inside each bound, which
+    /// includes the requests with narrower bounds. A model that is listed
+    /// under a bound is to be held inside the bound even without current
+    /// demand.
     pub bounds: BTreeMap<RegionBound, ModelNeeds>,
 }
 
--- a/crates/valehold-core/src/fleet/replicas/planner.rs
+++ b/crates/valehold-core/src/fleet/replicas/planner.rs
@@ -1,4 +1,5 @@
-//! What is counted of engines, models and bounds while a plan is made.
+//! The state of a plan in the making: the engines, the models, the bounds, the
+//! counts of replicas, and the steps so far.
 
 use std::collections::BTreeMap;
 
@@ -15,55 +16,61 @@
     id::ModelName,
 };
 
-/// The number of no bound: every engine is inside it.
+/// The index of the bound that contains every engine.
 pub(super) const EVERYWHERE: usize = 0;
 
-/// An engine, with its models by their numbers.
+/// An engine, with its models as indexes into the declaration.
 pub(super) struct Engine<'a> {
     pub(super) state: &'a EngineState,
-    /// What it holds, but for models that are not declared.
+    /// The models that the engine holds, without undeclared models.
     pub(super) models: Vec<usize>,
-    /// Models that it keeps copies of.
+    /// The models of which the engine keeps a local copy.
     pub(super) copies: Vec<usize>,
     pub(super) loading: Option<usize>,
-    /// Whether it may not be given an order.
-    pub(super) busy: bool,
-    /// The memory that its models and adapters take, in MB.
-    pub(super) taken: u64,
+    /// Whether an order is or may be pending, or this plan already has a step
+    /// for the engine. No further order may be given then.
+    pub(super) has_pending_order: bool,
+    /// The memory that the models and adapters use, in MB.
+    pub(super) used_mb: u64,
 }
 
 impl Engine<'_> {
+    /// Returns whether the engine holds or loads a model.
     pub(super) fn will_hold(&self, model: usize) -> bool {
         self.models.contains(&model) || self.loading == Some(model)
     }
 
-    pub(super) fn may_order(&self) -> bool {
-        self.state.sound && !self.busy
+    /// Returns whether the engine may be given an order.
+    pub(super) fn accepts_order(&self) -> bool {
+        self.state.is_available && !self.has_pending_order
     }
 }
 
-/// What is counted of engines is kept up to date with each step, and models,
-/// bounds and engines go by numbers: counted anew for each model and engine,
-/// a plan for 240 engines and 399 models took longer than the time between
-/// two plans, and by names one for 1,500 engines and 560 models takes some
-/// 150 ms.
+/// A plan in the making.
+///
+/// Each step updates the counts of replicas. Counting again for each model and
+/// engine made a plan for 240 engines and 399 models take longer than the time
+/// between two plans. Models, bounds and engines are identified by index: with
+/// names, a plan for 1,500 engines and 560 models takes about 150 ms.
 pub(super) struct Planner<'a> {
     pub(super) spec: &'a EngineSpec,
     pub(super) engines: Vec<Engine<'a>>,
-    /// For each bound, which engines are inside it.
+    /// For each bound and each engine, whether the engine is inside the bound.
     pub(super) inside: Vec<Vec<bool>>,
-    /// First that of each model to engines anywhere, in the order of the
-    /// declaration, then those to engines inside bounds.
+    /// First, in the order of the declaration, the claim of each model to any
+    /// engine; then the claims inside bounds.
     pub(super) claims: Vec<Claim>,
-    /// Each model's claims inside bounds.
+    /// For each model, the indexes of its claims inside bounds.
     pub(super) bound_claims: Vec<Vec<usize>>,
-    /// For each bound, how many of its claims no sound engine meets.
-    missed: Vec<usize>,
-    /// Models that are already waited for to have another engine, so that
-    /// they make room inside a bound.
-    pub(super) moving: Vec<usize>,
+    /// For each bound, the number of its claims without a holder.
+    missing_per_bound: Vec<usize>,
+    /// Models that are being loaded on another engine, so that the replica
+    /// inside a bound can then be unloaded. No second model is relocated for
+    /// the same purpose.
+    pub(super) relocating: Vec<usize>,
     steps: Vec<ReplicaStep>,
-    loads: usize,
+    /// The number of loads that the weight store still allows.
+    loads_left: usize,
 }
 
 impl<'a> Planner<'a> {
@@ -72,26 +79,26 @@
         needs: &Needs,
         engines: &'a [EngineState],
         topology: Option<&Topology>,
-        loads: usize,
+        loads_left: usize,
     ) -> Self {
         let models = spec.models.iter().map(|model| &model.name);
-        let numbers = models.enumerate().map(|(number, name)| (name, number));
-        let numbers: BTreeMap<&ModelName, usize> = numbers.collect();
-        let engine = |state| numbered(state, spec, &numbers);
+        let indexes = models.enumerate().map(|(index, name)| (name, index));
+        let indexes: BTreeMap<&ModelName, usize> = indexes.collect();
+        let engine = |state| index_engine(state, spec, &indexes);
         let mut planner = Self {
             spec,
             engines: engines.iter().map(engine).collect(),
             inside: vec![vec![true; engines.len()]],
             claims: Vec::new(),
             bound_claims: vec![Vec::new(); spec.models.len()],
-            missed: Vec::new(),
-            moving: Vec::new(),
+            missing_per_bound: Vec::new(),
+            relocating: Vec::new(),
             steps: Vec::new(),
-            loads,
+            loads_left,
         };
-        planner.claim(needs, &numbers, topology);
-        planner.share_out_scarce_places();
-        planner.count();
+        planner.add_claims(needs, &indexes, topology);
+        planner.drop_idle_guarantees();
+        planner.count_replicas();
         planner
     }
 
@@ -99,17 +106,17 @@
         self.steps
     }
 
-    /// Makes the claims of all models.
-    fn claim(
+    /// Adds the claims of all models.
+    fn add_claims(
         &mut self,
         needs: &Needs,
-        numbers: &BTreeMap<&ModelName, usize>,
+        indexes: &BTreeMap<&ModelName, usize>,
         topology: Option<&Topology>,
     ) {
-        for (number, model) in self.spec.models.iter().enumerate() {
+        for (index, model) in self.spec.models.iter().enumerate() {
             let need = needs.everywhere.get(&model.name);
             let need: ModelNeed = need.copied().unwrap_or_default();
-            self.claims.push(Claim::new(number, EVERYWHERE, need));
+            self.claims.push(Claim::new(index, EVERYWHERE, need));
         }
         for (bound, models) in &needs.bounds {
             let region = |engine: &Engine<'_>| {
@@ -119,40 +126,41 @@
             self.inside.push(self.engines.iter().map(inside).collect());
             let bound = self.inside.len() - 1;
             for (name, need) in models {
-                let Some(number) = numbers.get(name) else { continue };
-                self.bound_claims[*number].push(self.claims.len());
-                self.claims.push(Claim::new(*number, bound, *need));
+                let Some(index) = indexes.get(name) else { continue };
+                self.bound_claims[*index].push(self.claims.len());
+                self.claims.push(Claim::new(*index, bound, *need));
             }
         }
     }
 
-    /// Where models are more than places, keeps places for those that requests
-    /// ask for.
-    fn share_out_scarce_places(&mut self) {
-        let sound = self.engines.iter().filter(|one| one.state.sound).count();
-        if self.spec.models.len() <= sound * self.places() {
+    /// If the models outnumber the places on available engines, removes the
+    /// guarantee of a replica from models without demand.
+    fn drop_idle_guarantees(&mut self) {
+        let available =
+            self.engines.iter().filter(|one| one.state.is_available).count();
+        if self.spec.models.len() <= available * self.models_per_engine() {
             return;
         }
         let claims = self.claims.iter_mut();
         let everywhere = claims.filter(|claim| claim.bound == EVERYWHERE);
-        for claim in everywhere.filter(|claim| !claim.is_asked()) {
-            claim.give_up_place();
+        for claim in everywhere.filter(|claim| !claim.has_demand()) {
+            claim.drop_guarantee();
         }
     }
 
-    /// Returns on how many places an engine has room for models, whichever
-    /// they are.
-    pub(super) fn places(&self) -> usize {
+    /// Returns the number of models that fit an engine, whichever models these
+    /// are; at least 1.
+    pub(super) fn models_per_engine(&self) -> usize {
         let largest = self.spec.models.iter().map(|m| m.size_mb).max();
-        let places = self.spec.memory_mb / largest.unwrap_or(1).max(1);
-        usize::try_from(places).unwrap_or(usize::MAX).max(1)
+        let models = self.spec.memory_mb / largest.unwrap_or(1).max(1);
+        usize::try_from(models).unwrap_or(usize::MAX).max(1)
     }
 
-    /// Counts what engines hold.
-    fn count(&mut self) {
+    /// Counts the replicas on available engines for all claims.
+    fn count_replicas(&mut self) {
         for index in 0..self.engines.len() {
             let engine = &self.engines[index];
-            if !engine.state.sound {
+            if !engine.state.is_available {
                 continue;
             }
             let held = engine.models.clone();
@@ -165,13 +173,14 @@
                 self.count_holder(index, model, 1);
             }
         }
-        self.missed = vec![0; self.inside.len()];
+        self.missing_per_bound = vec![0; self.inside.len()];
         for claim in self.claims.iter().filter(|claim| claim.holders == 0) {
-            self.missed[claim.bound] += 1;
+            self.missing_per_bound[claim.bound] += 1;
         }
     }
 
-    /// Returns a model's claims that an engine is inside of.
+    /// Returns the indexes of the claims that a replica of a model on an
+    /// engine counts for.
     pub(super) fn claims_at(
         &self,
         engine: usize,
@@ -200,40 +209,44 @@
         }
     }
 
-    /// Tells whether an engine is inside a bound that lacks another model:
-    /// its room is for that one.
-    pub(super) fn is_missed_inside(
+    /// Returns whether an engine is inside a bound in which another model has
+    /// no holder. The engine's free memory is kept for that model if possible.
+    pub(super) fn is_reserved_for_another(
         &self,
         engine: usize,
         model: usize,
     ) -> bool {
         let bounds = 1..self.inside.len();
-        let missed = bounds
+        let missing = bounds
             .filter(|bound| self.inside[*bound][engine])
-            .map(|bound| self.missed[bound]);
+            .map(|bound| self.missing_per_bound[bound]);
         let claims = self.claims_at(engine, model).skip(1);
         let own = claims.filter(|claim| self.claims[*claim].holders == 0);
-        missed.sum::<usize>() > own.count()
+        missing.sum::<usize>() > own.count()
     }
 
+    /// Returns the pressure of a claim on each of `engines` engines.
     pub(super) fn pressure(&self, claim: usize, engines: usize) -> f64 {
         self.claims[claim].pressure(engines, self.spec.adapter_places)
     }
 
-    pub(super) fn load(&mut self, index: usize, model: usize) {
+    /// Adds a load to the plan, unless the weight store allows no further
+    /// load.
+    pub(super) fn add_load_step(&mut self, index: usize, model: usize) {
         let engine = &mut self.engines[index];
         let source = match engine.copies.contains(&model) {
             true => LoadSource::Copy,
             false => LoadSource::WeightStore,
         };
-        if source == LoadSource::WeightStore && !engine.state.is_counted {
-            let Some(left) = self.loads.checked_sub(1) else { return };
-            self.loads = left;
+        if source == LoadSource::WeightStore && !engine.state.has_counted_load
+        {
+            let Some(left) = self.loads_left.checked_sub(1) else { return };
+            self.loads_left = left;
         }
         engine.loading = Some(model);
-        engine.busy = true;
+        engine.has_pending_order = true;
         let id = engine.state.id.clone();
-        self.meet(index, model);
+        self.update_missing(index, model);
         self.count_holder(index, model, 1);
         self.steps.push(ReplicaStep::Load {
             engine: id,
@@ -242,19 +255,21 @@
         });
     }
 
-    /// Notes that a model is missed no more inside the bounds of an engine.
-    fn meet(&mut self, engine: usize, model: usize) {
+    /// Updates the number of claims without a holder before a load of a model
+    /// on an engine is counted.
+    fn update_missing(&mut self, engine: usize, model: usize) {
         let claims: Vec<usize> = self.claims_at(engine, model).collect();
         for claim in claims.into_iter().map(|claim| &self.claims[claim]) {
             if claim.holders == 0 {
-                self.missed[claim.bound] -= 1;
+                self.missing_per_bound[claim.bound] -= 1;
             }
         }
     }
 
-    pub(super) fn unload(&mut self, index: usize, model: usize) {
+    /// Adds an unload to the plan.
+    pub(super) fn add_unload_step(&mut self, index: usize, model: usize) {
         let engine = &mut self.engines[index];
-        engine.busy = true;
+        engine.has_pending_order = true;
         engine.models.retain(|held| *held != model);
         let id = engine.state.id.clone();
         self.count_resident(index, model, -1);
@@ -265,8 +280,8 @@
         });
     }
 
-    /// Returns the memory that a model takes at an engine, with its adapters
-    /// there, in MB.
+    /// Returns the memory that a model and its adapters use on an engine, in
+    /// MB.
     pub(super) fn held_mb(&self, engine: &Engine<'_>, model: usize) -> u64 {
         held_mb(engine.state, &self.spec.models[model])
     }
@@ -278,21 +293,23 @@
     model.size_mb + model.adapter_size_mb * adapters
 }
 
-fn numbered<'a>(
+/// Translates the state of an engine from model names to indexes.
+fn index_engine<'a>(
     state: &'a EngineState,
     spec: &EngineSpec,
-    numbers: &BTreeMap<&ModelName, usize>,
+    indexes: &BTreeMap<&ModelName, usize>,
 ) -> Engine<'a> {
-    let number = |name: &ModelName| numbers.get(name).copied();
+    let index = |name: &ModelName| indexes.get(name).copied();
     let models: Vec<usize> =
-        state.holding.models.keys().filter_map(number).collect();
-    let taken = models.iter().map(|m| held_mb(state, &spec.models[*m])).sum();
+        state.holding.models.keys().filter_map(index).collect();
+    let used_mb =
+        models.iter().map(|m| held_mb(state, &spec.models[*m])).sum();
     Engine {
-        copies: state.copies.iter().filter_map(number).collect(),
-        loading: state.loading.as_ref().and_then(number),
-        busy: state.busy,
+        copies: state.copies.iter().filter_map(index).collect(),
+        loading: state.loading.as_ref().and_then(index),
+        has_pending_order: state.has_pending_order,
         models,
-        taken,
+        used_mb,
         state,
     }
 }
--- a/crates/valehold-core/src/fleet/replicas/relocation.rs
+++ b/crates/valehold-core/src/fleet/replicas/relocation.rs
@@ -1,133 +1,160 @@
-//! Making room inside a bound where no model can be spared.
+//! Relocates models out of a bound to make room inside the bound.
 //!
-//! Where a bound's engines are full of models that nobody else holds, one
-//! that need not be inside the bound is loaded outside of it first. Once it is
-//! there, it can be spared inside.
+//! If the engines inside a bound are full of models that no other engine
+//! holds, none of these models can be unloaded. A model that need not be
+//! inside the bound is then first loaded on an engine outside. Once this load
+//! is done, the replica inside the bound can be unloaded.
 
 use super::{
     planner::Planner,
-    room::{Taker, WORTH_A_MOVE},
+    room::{MIN_PRESSURE_RATIO, Requester},
 };
 
-/// How many models are tried, the least pressed first: each takes a search of
-/// all engines.
-const MOST_TRIED: usize = 4;
+/// The number of candidates that are tried, in ascending order of pressure.
+/// Each attempt searches all engines.
+const MAX_CANDIDATES_TRIED: usize = 4;
 
-/// A model that could be held elsewhere.
-struct Movable {
+/// A model on an engine inside a bound that an engine outside could hold
+/// instead.
+struct RelocationCandidate {
     engine: usize,
     model: usize,
     pressure: f64,
 }
 
 impl Planner<'_> {
-    /// Brings a model that is held inside a bound to an engine outside of it,
-    /// so that later it makes room for one that is missed inside.
+    /// Loads a model that is held inside a bound on an engine outside, so that
+    /// a later plan can unload the model inside to make room for a missing
+    /// one.
     ///
-    /// One move is begun for each model that is missed, not one with each
-    /// plan: what is on its way out already is waited for.
-    pub(super) fn move_one_out(
+    /// If no engine outside has room, room is made there first. Each missing
+    /// model causes one relocation at a time: while a relocation is under way,
+    /// later plans begin no further one.
+    pub(super) fn relocate_one(
         &mut self,
-        missed: usize,
+        missing_model: usize,
         bound: usize,
         pressure: f64,
     ) {
-        if let Some(model) = self.on_its_way_out(missed, bound) {
-            self.moving.push(model);
+        if let Some(model) = self.relocating_model(missing_model, bound) {
+            self.relocating.push(model);
             return;
         }
-        let movable = self.movable(missed, bound).into_iter();
-        let worth =
-            movable.take_while(|one| pressure >= one.pressure * WORTH_A_MOVE);
-        let worth: Vec<Movable> = worth.take(MOST_TRIED).collect();
-        for one in worth {
-            let Movable { engine, model, .. } = one;
-            let allowed = self.elsewhere(engine, model, bound);
+        let candidates =
+            self.relocation_candidates(missing_model, bound).into_iter();
+        let worthwhile = candidates.take_while(|candidate| {
+            pressure >= candidate.pressure * MIN_PRESSURE_RATIO
+        });
+        let worthwhile: Vec<RelocationCandidate> =
+            worthwhile.take(MAX_CANDIDATES_TRIED).collect();
+        for candidate in worthwhile {
+            let RelocationCandidate { engine, model, .. } = candidate;
+            let allowed = self.allowed_outside(engine, model, bound);
             let is_allowed = |engine: usize| allowed[engine];
-            if let Some(found) = self.roomy_engine_where(model, is_allowed) {
-                self.load(found, model);
-                self.moving.push(model);
+            if let Some(found) = self.engine_with_room_where(model, is_allowed)
+            {
+                self.add_load_step(found, model);
+                self.relocating.push(model);
                 return;
             }
-            let taker = Taker::Anywhere;
-            if self.make_room_where(model, pressure, taker, is_allowed) {
-                self.moving.push(model);
+            let requester = Requester::Anywhere;
+            if self.make_room_where(model, pressure, requester, is_allowed) {
+                self.relocating.push(model);
                 return;
             }
         }
     }
 
-    /// Returns a model that will be spared inside a bound once it is loaded
-    /// elsewhere.
-    fn on_its_way_out(&self, missed: usize, bound: usize) -> Option<usize> {
-        self.held_inside(missed, bound).map(|(_, model)| model).find(|model| {
-            let everywhere = &self.claims[*model];
-            everywhere.resident == 1 && everywhere.holders > 1
-        })
+    /// Returns a model inside a bound that is already being loaded on another
+    /// engine, or `None` if no relocation is under way.
+    fn relocating_model(
+        &self,
+        missing_model: usize,
+        bound: usize,
+    ) -> Option<usize> {
+        self.removable_inside(missing_model, bound)
+            .map(|(_, model)| model)
+            .find(|model| {
+                let claim = &self.claims[*model];
+                claim.resident == 1 && claim.holders > 1
+            })
     }
 
-    /// Returns the models inside a bound that may be held outside of it as
-    /// well, those first that press least.
-    fn movable(&self, missed: usize, bound: usize) -> Vec<Movable> {
-        let held = self.held_inside(missed, bound);
-        let movable = held.filter(|(engine, model)| {
-            let allowed = self.elsewhere(*engine, *model, bound);
-            let is_spare = self.is_spare(*engine, *model, Taker::Missed);
-            !is_spare && allowed.contains(&true)
+    /// Returns the models inside a bound that an engine outside could hold
+    /// instead, by ascending pressure.
+    fn relocation_candidates(
+        &self,
+        missing_model: usize,
+        bound: usize,
+    ) -> Vec<RelocationCandidate> {
+        let held = self.removable_inside(missing_model, bound);
+        let candidates = held.filter(|(engine, model)| {
+            let allowed = self.allowed_outside(*engine, *model, bound);
+            let can_leave =
+                self.can_leave(*engine, *model, Requester::MissingInsideBound);
+            !can_leave && allowed.contains(&true)
         });
         let places = self.spec.adapter_places;
-        let mut movable: Vec<Movable> = movable
+        let mut candidates: Vec<RelocationCandidate> = candidates
             .map(|(engine, model)| {
                 let claim = &self.claims[model];
-                let pressure = claim.lately_pressure(claim.resident, places);
-                Movable { engine, model, pressure }
+                let pressure = claim.recent_pressure(claim.resident, places);
+                RelocationCandidate { engine, model, pressure }
             })
             .collect();
-        movable.sort_by(|a, b| a.pressure.total_cmp(&b.pressure));
-        movable
+        candidates.sort_by(|a, b| a.pressure.total_cmp(&b.pressure));
+        candidates
     }
 
-    /// Returns what engines inside a bound hold that could make room for a
-    /// model, but for what makes room for another one already.
-    fn held_inside(
+    /// Returns the engines and models inside a bound whose removal would make
+    /// enough room for a missing model, without the models that are already
+    /// being relocated.
+    fn removable_inside(
         &self,
-        missed: usize,
+        missing_model: usize,
         bound: usize,
     ) -> impl Iterator<Item = (usize, usize)> + '_ {
         let inside = self.inside[bound].iter().enumerate();
         let inside = inside.filter(|(_, is_in)| **is_in);
-        let able = inside.filter(move |(engine, _)| {
+        let candidates = inside.filter(move |(engine, _)| {
             let engine = &self.engines[*engine];
-            engine.may_order() && !engine.will_hold(missed)
+            engine.accepts_order() && !engine.will_hold(missing_model)
         });
-        let size = self.spec.models[missed].size_mb;
-        able.flat_map(move |(index, _)| {
+        let size_mb = self.spec.models[missing_model].size_mb;
+        candidates.flat_map(move |(index, _)| {
             let engine = &self.engines[index];
             let held = engine.models.iter().copied();
             let enough = held.filter(move |model| {
-                let freed = self.held_mb(engine, *model);
-                !self.moving.contains(model)
-                    && engine.taken - freed + size <= self.spec.memory_mb
+                let freed_mb = self.held_mb(engine, *model);
+                !self.relocating.contains(model)
+                    && engine.used_mb - freed_mb + size_mb
+                        <= self.spec.memory_mb
             });
             enough.map(move |model| (index, model))
         })
     }
 
-    /// Returns which engines outside of a bound could hold a model in place
-    /// of one inside, by all of its claims that this one meets alone.
-    fn elsewhere(
+    /// Returns for each engine whether the engine is outside a bound and could
+    /// hold a model in place of an engine inside.
+    ///
+    /// Each claim of which the engine inside is the only holder has to be
+    /// satisfied by the engine outside.
+    fn allowed_outside(
         &self,
         engine: usize,
         model: usize,
         bound: usize,
     ) -> Vec<bool> {
         let claims = self.claims_at(engine, model).map(|c| &self.claims[c]);
-        let blocked = claims.filter(|claim| claim.resident <= 1);
-        let blocked: Vec<usize> = blocked.map(|claim| claim.bound).collect();
+        let sole = claims.filter(|claim| claim.resident <= 1);
+        let required_bounds: Vec<usize> =
+            sole.map(|claim| claim.bound).collect();
         let engines = 0..self.engines.len();
         let allowed = engines.map(|other| {
             !self.inside[bound][other]
-                && blocked.iter().all(|one| self.inside[*one][other])
+                && required_bounds
+                    .iter()
+                    .all(|bound| self.inside[*bound][other])
         });
         allowed.collect()
     }
--- a/crates/valehold-core/src/fleet/replicas/room.rs
+++ b/crates/valehold-core/src/fleet/replicas/room.rs
@@ -1,4 +1,5 @@
-//! Which engine loads a model, and what makes way for it.
+//! Chooses the engine that loads a model, and the model that is unloaded to
+//! make room.
 
 use std::collections::BTreeSet;
 
@@ -8,136 +9,153 @@
 };
 use crate::id::DataCentreId;
 
-/// By how much harder pressed than the giver a model must be for a replica to
-/// move from one to the other.
-pub(super) const WORTH_A_MOVE: f64 = 1.5;
+/// The minimum ratio of the pressure of the model that needs room to the
+/// pressure of the model that is unloaded.
+pub(super) const MIN_PRESSURE_RATIO: f64 = 1.5;
 
-/// What a busy engine weighs when a model is to leave it: the unload waits
-/// for its requests, in the pressure that would be as bad.
-const BUSY_ENGINE_WEIGHS: f64 = 0.3;
+/// The cost of an unload from a fully busy engine, in units of pressure. The
+/// unload has to wait until the running requests end.
+const BUSY_ENGINE_COST: f64 = 0.3;
 
-/// What it is worth to load a model from a copy, likewise.
-const COPY_IS_WORTH: f64 = 0.3;
+/// The reduction of the cost if the new model can be loaded from a local copy,
+/// in units of pressure.
+const COPY_DISCOUNT: f64 = 0.3;
 
-/// For whom a model is to make way, which decides how many engines it keeps.
+/// The kind of claim that needs room, which decides how many replicas other
+/// models keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Taker {
-    /// A claim to any engine: other models keep what they are to have.
+pub(super) enum Requester {
+    /// A claim to any engine: other models keep their targets.
     Anywhere,
-    /// A claim inside a bound that some engine meets: they keep what they are
-    /// to have inside bounds, and get what they lose elsewhere again.
-    Inside,
-    /// A claim inside a bound that none meets: they keep one.
-    Missed,
+    /// A claim inside a bound that already has a holder: other models keep
+    /// their targets inside bounds. Overall, their targets may be undercut, as
+    /// the replicas are loaded again elsewhere.
+    InsideBound,
+    /// A claim inside a bound without a holder: other models keep only their
+    /// guaranteed replicas.
+    MissingInsideBound,
 }
 
-/// What could make way.
+/// A model that could be unloaded from an engine.
 struct Victim {
     engine: usize,
     model: usize,
-    /// How hard it would be missed, and what speaks against this engine.
+    /// The pressure of the model after the unload, plus the cost of an unload
+    /// from this engine.
     cost: f64,
 }
 
 impl Planner<'_> {
-    /// Returns the engine that is to load a claim's model, if one has room.
-    pub(super) fn roomy_engine(&self, claim: usize) -> Option<usize> {
+    /// Returns the engine that is to load the model of a claim, or `None` if
+    /// no engine inside the bound has room.
+    pub(super) fn engine_with_room(&self, claim: usize) -> Option<usize> {
         let claim = &self.claims[claim];
         let (model, inside) = (claim.model, &self.inside[claim.bound]);
-        self.roomy_engine_where(model, |engine| inside[engine])
+        self.engine_with_room_where(model, |engine| inside[engine])
     }
 
-    /// Returns the one that is to load a model, of those that are allowed and
-    /// have room.
-    pub(super) fn roomy_engine_where(
+    /// Returns the engine that is to load a model, among the allowed engines
+    /// with room.
+    ///
+    /// In this order, an engine is preferred if its room is not kept for
+    /// another model, if it has a local copy, if no holder is in its data
+    /// centre, and if it has the fewest running requests.
+    pub(super) fn engine_with_room_where(
         &self,
         model: usize,
         is_allowed: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        let size = self.spec.models[model].size_mb;
-        let able = (0..self.engines.len()).filter(|index| {
+        let size_mb = self.spec.models[model].size_mb;
+        let candidates = (0..self.engines.len()).filter(|index| {
             let engine = &self.engines[*index];
             is_allowed(*index)
-                && engine.may_order()
+                && engine.accepts_order()
                 && !engine.will_hold(model)
-                && engine.taken + size <= self.spec.memory_mb
+                && engine.used_mb + size_mb <= self.spec.memory_mb
         });
-        let near = self.data_centres_of(model);
+        let holding_centres = self.data_centres_holding(model);
         let rank = |index: usize| {
             let engine = &self.engines[index];
-            let is_new = !engine.copies.contains(&model);
-            let is_near = near.contains(&engine.state.data_centre);
-            (self.is_missed_inside(index, model), is_new, is_near)
+            let has_no_copy = !engine.copies.contains(&model);
+            let is_near = holding_centres.contains(&engine.state.data_centre);
+            (self.is_reserved_for_another(index, model), has_no_copy, is_near)
         };
-        let ranked = able.map(|index| (rank(index), index));
-        let load = |index: usize| self.engines[index].state.load;
+        let ranked = candidates.map(|index| (rank(index), index));
+        let running =
+            |index: usize| self.engines[index].state.running_requests;
         let best = ranked.min_by(|(a, engine_a), (b, engine_b)| {
-            a.cmp(b).then(load(*engine_a).total_cmp(&load(*engine_b)))
+            a.cmp(b).then(running(*engine_a).total_cmp(&running(*engine_b)))
         });
         best.map(|(_, index)| index)
     }
 
-    fn data_centres_of(&self, model: usize) -> BTreeSet<&DataCentreId> {
+    /// Returns the data centres with an engine that holds or loads a model.
+    fn data_centres_holding(&self, model: usize) -> BTreeSet<&DataCentreId> {
         let holders = self.engines.iter().filter(|e| e.will_hold(model));
         holders.map(|engine| &engine.state.data_centre).collect()
     }
 
-    /// Takes away the model that is missed least, where that makes room for
-    /// a claim's model; tells whether one was found.
+    /// Unloads the model with the lowest cost whose removal makes room for the
+    /// model of a claim. Returns whether such a model was found.
     pub(super) fn make_room(&mut self, claim: usize, pressure: f64) -> bool {
         let Claim { model, bound, holders, .. } = self.claims[claim];
-        let taker = match (bound, holders) {
-            (EVERYWHERE, _) => Taker::Anywhere,
-            (_, 0) => Taker::Missed,
-            _ => Taker::Inside,
+        let requester = match (bound, holders) {
+            (EVERYWHERE, _) => Requester::Anywhere,
+            (_, 0) => Requester::MissingInsideBound,
+            _ => Requester::InsideBound,
         };
         let inside = self.inside[bound].clone();
-        self.make_room_where(model, pressure, taker, |engine| inside[engine])
+        self.make_room_where(model, pressure, requester, |engine| {
+            inside[engine]
+        })
     }
 
-    /// Likewise at one of the engines that are allowed.
+    /// Does the same as [`Self::make_room`], on one of the allowed engines.
     pub(super) fn make_room_where(
         &mut self,
         model: usize,
         pressure: f64,
-        taker: Taker,
+        requester: Requester,
         is_allowed: impl Fn(usize) -> bool,
     ) -> bool {
-        let victim = self.victim(model, pressure, taker, is_allowed);
+        let victim = self.find_victim(model, pressure, requester, is_allowed);
         let Some(victim) = victim else { return false };
-        self.unload(victim.engine, victim.model);
+        self.add_unload_step(victim.engine, victim.model);
         true
     }
 
-    fn victim(
+    /// Returns the model with the lowest cost that can be unloaded from an
+    /// allowed engine to make room for `model`.
+    fn find_victim(
         &self,
         model: usize,
         pressure: f64,
-        taker: Taker,
+        requester: Requester,
         is_allowed: impl Fn(usize) -> bool,
     ) -> Option<Victim> {
-        let size = self.spec.models[model].size_mb;
+        let size_mb = self.spec.models[model].size_mb;
         let mut best: Option<Victim> = None;
         for (index, engine) in self.engines.iter().enumerate() {
             if !is_allowed(index)
-                || !engine.may_order()
+                || !engine.accepts_order()
                 || engine.will_hold(model)
             {
                 continue;
             }
             for held in &engine.models {
-                if !self.is_spare(index, *held, taker) {
+                if !self.can_leave(index, *held, requester) {
                     continue;
                 }
-                let then = self.pressure_without(index, *held);
-                let freed = self.held_mb(engine, *held);
-                if pressure < then * WORTH_A_MOVE
-                    || engine.taken - freed + size > self.spec.memory_mb
+                let pressure_after = self.pressure_without(index, *held);
+                let freed_mb = self.held_mb(engine, *held);
+                if pressure < pressure_after * MIN_PRESSURE_RATIO
+                    || engine.used_mb - freed_mb + size_mb
+                        > self.spec.memory_mb
                 {
                     continue;
                 }
-                let cost = then + self.moving_cost(engine, model);
-                if best.as_ref().is_none_or(|least| cost < least.cost) {
+                let cost = pressure_after + self.eviction_cost(engine, model);
+                if best.as_ref().is_none_or(|lowest| cost < lowest.cost) {
                     best = Some(Victim { engine: index, model: *held, cost });
                 }
             }
@@ -145,44 +163,50 @@
         best
     }
 
-    /// Tells whether a model could leave an engine: everywhere, and inside
-    /// each bound, enough others hold it.
-    pub(super) fn is_spare(
+    /// Returns whether a model can be unloaded from an engine: without this
+    /// replica, enough other engines hold the model overall and inside each
+    /// bound.
+    pub(super) fn can_leave(
         &self,
         engine: usize,
         model: usize,
-        taker: Taker,
+        requester: Requester,
     ) -> bool {
         let mut claims = self.claims_at(engine, model);
         claims.all(|claim| {
             let claim = &self.claims[claim];
-            let keeps = match taker {
-                Taker::Anywhere => claim.wanted,
-                Taker::Inside if claim.bound == EVERYWHERE => 0,
-                Taker::Inside => claim.wanted,
-                Taker::Missed => 0,
+            let min_kept = match requester {
+                Requester::Anywhere => claim.target,
+                Requester::InsideBound if claim.bound == EVERYWHERE => 0,
+                Requester::InsideBound => claim.target,
+                Requester::MissingInsideBound => 0,
             };
-            claim.resident > keeps.max(claim.least)
+            claim.resident > min_kept.max(claim.min_engines)
         })
     }
 
-    /// Returns how hard a model would press that leaves an engine.
+    /// Returns the recent pressure of a model if it were unloaded from an
+    /// engine.
     fn pressure_without(&self, engine: usize, model: usize) -> f64 {
-        let places = self.spec.adapter_places;
+        let adapter_places = self.spec.adapter_places;
         let claims = self.claims_at(engine, model);
         let pressures = claims.map(|claim| {
             let claim = &self.claims[claim];
-            claim.lately_pressure(claim.resident.saturating_sub(1), places)
+            claim.recent_pressure(
+                claim.resident.saturating_sub(1),
+                adapter_places,
+            )
         });
         pressures.fold(0.0, f64::max)
     }
 
-    /// Returns what speaks against bringing a model to an engine where
-    /// another one has to leave.
-    fn moving_cost(&self, engine: &Engine<'_>, model: usize) -> f64 {
+    /// Returns the cost of loading `model` on an engine that first has to
+    /// unload another model; negative if the engine has a local copy and is
+    /// not busy.
+    fn eviction_cost(&self, engine: &Engine<'_>, model: usize) -> f64 {
         let slots = f64::from(self.spec.slots.max(1));
-        let busy = engine.state.load / slots * BUSY_ENGINE_WEIGHS;
-        let copy = engine.copies.contains(&model);
-        busy - if copy { COPY_IS_WORTH } else { 0.0 }
+        let busy = engine.state.running_requests / slots * BUSY_ENGINE_COST;
+        let has_copy = engine.copies.contains(&model);
+        busy - if has_copy { COPY_DISCOUNT } else { 0.0 }
     }
 }
--- a/crates/valehold-core/src/fleet/replicas/shortfall.rs
+++ b/crates/valehold-core/src/fleet/replicas/shortfall.rs
@@ -1,4 +1,4 @@
-//! Which claims lack engines, and what is done about each.
+//! Finds the claims with too few engines, and orders loads for these claims.
 
 use std::{
     cmp::Ordering,
@@ -10,152 +10,161 @@
     planner::{EVERYWHERE, Planner},
 };
 
-/// A claim that lacks engines.
-pub(super) struct Lacking {
-    /// The claim, by its number.
+/// A claim with fewer engines than required.
+pub(super) struct Shortfall {
+    /// The index of the claim.
     pub(super) claim: usize,
-    /// How hard it presses.
+    /// The pressure, which decides the order of loads.
     pub(super) pressure: f64,
-    /// How many engines it is to have.
-    least: usize,
+    /// The number of engines that are required.
+    required: usize,
 }
 
-/// A pressure, the hardest first.
+/// A pressure that sorts in descending order.
 #[derive(Debug, PartialEq)]
-struct Hardest(f64);
+struct HighestFirst(f64);
 
-impl Eq for Hardest {}
+impl Eq for HighestFirst {}
 
-impl Ord for Hardest {
+impl Ord for HighestFirst {
     fn cmp(&self, other: &Self) -> Ordering {
         other.0.total_cmp(&self.0)
     }
 }
 
-impl PartialOrd for Hardest {
+impl PartialOrd for HighestFirst {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
 impl Planner<'_> {
-    /// Returns the claims that no sound engine meets, those first that are
-    /// missed most.
+    /// Returns the guaranteed claims without a holder, by descending pressure.
     ///
-    /// Of one model's, that to the fewest engines comes first: what is loaded
-    /// there serves the wider ones as well.
-    pub(super) fn lost(&self) -> Vec<Lacking> {
+    /// Of the claims of one model, the claim with the fewest engines inside
+    /// its bound comes first, as a load there also satisfies the wider claims.
+    pub(super) fn missing_claims(&self) -> Vec<Shortfall> {
         let mut pressures: BTreeMap<usize, f64> = BTreeMap::new();
         for claim in self.claims_below(|_| 1) {
             let claim = &self.claims[claim];
             let pressure = pressures.entry(claim.model).or_default();
-            *pressure = pressure.max(claim.lost_pressure());
+            *pressure = pressure.max(claim.missing_pressure());
         }
-        let lacking = self.claims_below(|claim| claim.least);
-        let lacking = lacking.map(|claim| Lacking {
+        let shortfalls = self.claims_below(|claim| claim.min_engines);
+        let shortfalls = shortfalls.map(|claim| Shortfall {
             claim,
             pressure: pressures[&self.claims[claim].model],
-            least: 1,
+            required: 1,
         });
-        let mut lacking: Vec<Lacking> = lacking.collect();
-        lacking.sort_by_cached_key(|one| {
-            let Claim { model, bound, .. } = self.claims[one.claim];
+        let mut shortfalls: Vec<Shortfall> = shortfalls.collect();
+        shortfalls.sort_by_cached_key(|shortfall| {
+            let Claim { model, bound, .. } = self.claims[shortfall.claim];
             let inside = self.inside[bound].iter().filter(|is_in| **is_in);
-            (Hardest(one.pressure), model, inside.count())
+            (HighestFirst(shortfall.pressure), model, inside.count())
         });
-        lacking
+        shortfalls
     }
 
-    /// Returns the claims of idle models that no sound engine meets and that
-    /// have no place of their own.
-    pub(super) fn idle(&self) -> Vec<Lacking> {
-        let lost = self.claims_below(|_| 1);
-        let idle = lost.filter(|claim| self.claims[*claim].least == 0);
+    /// Returns the claims without a holder that have no guaranteed replica:
+    /// these are the claims of idle models while places are scarce.
+    pub(super) fn idle_missing_claims(&self) -> Vec<Shortfall> {
+        let missing = self.claims_below(|_| 1);
         let idle =
-            idle.map(|claim| Lacking { claim, pressure: 0.0, least: 1 });
+            missing.filter(|claim| self.claims[*claim].min_engines == 0);
+        let idle =
+            idle.map(|claim| Shortfall { claim, pressure: 0.0, required: 1 });
         idle.collect()
     }
 
-    /// Returns the claims with fewer engines than they are to have, those
-    /// first that press hardest.
-    pub(super) fn short(&self) -> Vec<Lacking> {
-        let short = self.claims_below(|claim| claim.wanted);
-        let short = short.filter(|claim| self.claims[*claim].holders > 0);
-        let lacking = short.map(|claim| Lacking {
+    /// Returns the claims with some holders but fewer than the target, by
+    /// descending pressure.
+    pub(super) fn claims_below_target(&self) -> Vec<Shortfall> {
+        let below = self.claims_below(|claim| claim.target);
+        let below = below.filter(|claim| self.claims[*claim].holders > 0);
+        let shortfalls = below.map(|claim| Shortfall {
             claim,
             pressure: self.pressure(claim, self.claims[claim].holders),
-            least: self.claims[claim].wanted,
+            required: self.claims[claim].target,
         });
-        let mut lacking: Vec<Lacking> = lacking.collect();
-        lacking.sort_by(|a, b| b.pressure.total_cmp(&a.pressure));
-        lacking
+        let mut shortfalls: Vec<Shortfall> = shortfalls.collect();
+        shortfalls.sort_by(|a, b| b.pressure.total_cmp(&a.pressure));
+        shortfalls
     }
 
+    /// Returns the indexes of the claims with fewer holders than `required`
+    /// returns.
     fn claims_below(
         &self,
-        least: impl Fn(&Claim) -> usize,
+        required: impl Fn(&Claim) -> usize,
     ) -> impl Iterator<Item = usize> {
         let claims = self.claims.iter().enumerate();
-        let below = claims.filter(move |(_, one)| one.holders < least(one));
-        below.map(|(claim, _)| claim)
+        let below =
+            claims.filter(move |(_, claim)| claim.holders < required(claim));
+        below.map(|(index, _)| index)
     }
 
-    /// Loads models at engines that keep a copy of them and have room.
+    /// Loads models on engines that have room and a local copy of the model.
     ///
-    /// That takes an engine a part of the time that a load from the weight
-    /// store does, so no engine is kept from it by such a load: engines that
-    /// come back after a crash have copies of several models that are missed.
-    pub(super) fn load_copies(&mut self, lacking: &[Lacking]) {
-        for one in lacking {
-            if self.is_met(one) {
+    /// A load from a copy takes a fraction of the time of a load from the
+    /// weight store. These loads are therefore ordered first: an engine that
+    /// restarts after a crash has copies of several missing models, and a load
+    /// from the weight store would keep the engine from loading those copies.
+    pub(super) fn load_copies(&mut self, shortfalls: &[Shortfall]) {
+        for shortfall in shortfalls {
+            if self.is_met(shortfall) {
                 continue;
             }
-            let model = self.claims[one.claim].model;
-            let found = self.roomy_engine(one.claim);
+            let model = self.claims[shortfall.claim].model;
+            let found = self.engine_with_room(shortfall.claim);
             let copy = found.filter(|engine| {
                 self.engines[*engine].copies.contains(&model)
             });
             if let Some(engine) = copy {
-                self.load(engine, model);
+                self.add_load_step(engine, model);
             }
         }
     }
 
-    /// Loads models that still lack an engine, or makes room for them.
-    pub(super) fn add_replicas(&mut self, lacking: &[Lacking]) {
-        // A model for which one makes room inside a bound waits for that.
-        let mut gets_room = BTreeSet::new();
-        for one in lacking {
-            if self.is_met(one) {
+    /// Loads models that still have too few engines, or makes room for the
+    /// models.
+    pub(super) fn load_or_make_room(&mut self, shortfalls: &[Shortfall]) {
+        // While room is made for a model inside a bound, no room is made for
+        // the same model elsewhere: the replica inside the bound will satisfy
+        // the claim to any engine, too.
+        let mut making_room = BTreeSet::new();
+        for shortfall in shortfalls {
+            if self.is_met(shortfall) {
                 continue;
             }
-            let Claim { model, bound, holders, .. } = self.claims[one.claim];
-            if let Some(engine) = self.roomy_engine(one.claim) {
-                self.load(engine, model);
-            } else if bound == EVERYWHERE && gets_room.contains(&model) {
+            let Claim { model, bound, holders, .. } =
+                self.claims[shortfall.claim];
+            if let Some(engine) = self.engine_with_room(shortfall.claim) {
+                self.add_load_step(engine, model);
+            } else if bound == EVERYWHERE && making_room.contains(&model) {
                 continue;
-            } else if self.make_room(one.claim, one.pressure) {
-                gets_room.insert(model);
+            } else if self.make_room(shortfall.claim, shortfall.pressure) {
+                making_room.insert(model);
             } else if holders == 0 && bound != EVERYWHERE {
-                self.move_one_out(model, bound, one.pressure);
+                self.relocate_one(model, bound, shortfall.pressure);
             }
         }
     }
 
-    /// Loads models that still lack an engine into room that is free.
-    pub(super) fn fill_room(&mut self, lacking: &[Lacking]) {
-        for one in lacking {
-            if self.is_met(one) {
+    /// Loads models that still have too few engines where memory is free.
+    pub(super) fn load_into_free_memory(&mut self, shortfalls: &[Shortfall]) {
+        for shortfall in shortfalls {
+            if self.is_met(shortfall) {
                 continue;
             }
-            if let Some(engine) = self.roomy_engine(one.claim) {
-                self.load(engine, self.claims[one.claim].model);
+            if let Some(engine) = self.engine_with_room(shortfall.claim) {
+                self.add_load_step(engine, self.claims[shortfall.claim].model);
             }
         }
     }
 
-    /// Tells whether a claim has as many engines as it is to have, by now.
-    fn is_met(&self, lacking: &Lacking) -> bool {
-        self.claims[lacking.claim].holders >= lacking.least
+    /// Returns whether a claim has enough holders by now, after the steps that
+    /// were ordered since the shortfall was found.
+    fn is_met(&self, shortfall: &Shortfall) -> bool {
+        self.claims[shortfall.claim].holders >= shortfall.required
     }
 }
--- a/crates/valehold-core/src/fleet/tests/replicas.rs
+++ b/crates/valehold-core/src/fleet/tests/replicas.rs
@@ -1,4 +1,5 @@
-//! Every model stays reachable, and memory is never ordered beyond.
+//! Tests of replica plans: no plan unloads the last replica of a model or
+//! exceeds the memory of an engine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +17,7 @@
     testing::cases,
 };
 
-/// Makes a declaration of so many models, of which three fit an engine.
+/// Returns a specification with `models` models, of which three fit an engine.
 pub(super) fn spec(models: usize) -> EngineSpec {
     let model = |number: usize| ModelSpec {
         name: ModelName::new(format!("m{number}")),
@@ -36,7 +37,7 @@
     }
 }
 
-/// Makes a holding of models with adapters.
+/// Returns a holding of models, each with its adapters.
 pub(super) fn holding(models: &[(&str, &[&str])]) -> Holding {
     let one = |(model, adapters): &(&str, &[&str])| {
         let adapters = adapters.iter().map(AdapterName::new).collect();
@@ -56,24 +57,24 @@
             models: models.iter().map(name).collect(),
         },
         loading: None,
-        busy: false,
-        sound: true,
+        has_pending_order: false,
+        is_available: true,
         copies: BTreeSet::new(),
-        is_counted: false,
-        load: 0.0,
+        has_counted_load: false,
+        running_requests: 0.0,
     }
 }
 
 fn needs(busy: &[f64]) -> BTreeMap<ModelName, ModelNeed> {
     let one = |(number, busy): (usize, &f64)| {
-        let need = ModelNeed { busy: *busy, ..ModelNeed::default() };
+        let need = ModelNeed { busy_engines: *busy, ..ModelNeed::default() };
         (ModelName::new(format!("m{number}")), need)
     };
     busy.iter().enumerate().map(one).collect()
 }
 
-/// Carries a step out at once.
-fn carry_out(engines: &mut [EngineState], step: &ReplicaStep) {
+/// Applies a step to the state of the engines.
+fn apply(engines: &mut [EngineState], step: &ReplicaStep) {
     let (ReplicaStep::Load { engine, .. }
     | ReplicaStep::Unload { engine, .. }) = step;
     let engine = engines.iter_mut().find(|e| e.id == *engine).unwrap();
@@ -88,8 +89,9 @@
 }
 
 fn holders(engines: &[EngineState], model: &ModelName) -> usize {
-    let holds =
-        |e: &&EngineState| e.sound && e.holding.models.contains_key(model);
+    let holds = |e: &&EngineState| {
+        e.is_available && e.holding.models.contains_key(model)
+    };
     engines.iter().filter(holds).count()
 }
 
@@ -97,11 +99,11 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn plans_keep_every_model_and_every_bound(
+    fn plans_keep_every_model_and_stay_within_all_limits(
         held in prop::collection::vec(
             prop::collection::btree_set(0_usize..6, 0..=3), 3..8,
         ),
-        sound in prop::collection::vec(prop::bool::weighted(0.8), 8),
+        available in prop::collection::vec(prop::bool::weighted(0.8), 8),
         busy in prop::collection::vec(0.0_f64..3.0, 6),
         loads in 0_usize..4,
     ) {
@@ -111,8 +113,8 @@
             .enumerate()
             .map(|(number, models)| engine(number, models))
             .collect();
-        for (engine, sound) in engines.iter_mut().zip(&sound) {
-            engine.sound = *sound;
+        for (engine, available) in engines.iter_mut().zip(&available) {
+            engine.is_available = *available;
         }
         let demand = needs(&busy);
         for _ in 0..12 {
@@ -132,11 +134,15 @@
             };
             prop_assert!(steps.iter().filter(from_store).count() <= loads);
             for step in &steps {
-                carry_out(&mut engines, step);
+                apply(&mut engines, step);
             }
             for (model, before) in spec.models.iter().zip(before) {
                 let now = holders(&engines, &model.name);
-                prop_assert!(now >= before.min(1), "{} was lost", model.name);
+                prop_assert!(
+                    now >= before.min(1),
+                    "no engine holds {} any more",
+                    model.name,
+                );
             }
             for engine in &engines {
                 prop_assert!(used_mb(&engine.holding, &spec) <= 220);
@@ -145,7 +151,7 @@
     }
 
     #[test]
-    fn plans_come_to_rest(
+    fn plans_converge(
         busy in prop::collection::vec(0.0_f64..3.0, 6),
     ) {
         let spec = spec(6);
@@ -156,15 +162,15 @@
         for _ in 0..60 {
             steps = plan(&spec, &demand, &engines, 3);
             for step in &steps {
-                carry_out(&mut engines, step);
+                apply(&mut engines, step);
             }
         }
-        prop_assert!(steps.is_empty(), "still {steps:?}");
+        prop_assert!(steps.is_empty(), "the plan still has steps: {steps:?}");
     }
 }
 
 #[gtest]
-fn a_lost_model_is_loaded_where_a_copy_is() {
+fn a_missing_model_is_loaded_from_a_local_copy() {
     let spec = spec(2);
     let mut engines: Vec<EngineState> =
         (0..3).map(|number| engine(number, &BTreeSet::from([0]))).collect();
@@ -178,17 +184,18 @@
     expect_that!(steps, elements_are![eq(&expected)]);
 }
 
-/// On the bench: of 31 engines that came back empty, most began with a load
-/// of six seconds from the weight store, though they had copies of models
-/// that were missed, each of which takes one or two.
+/// Guards against slow recovery after a crash. Of 31 engines that restarted
+/// empty, most began with a load from the weight store, which takes six
+/// seconds, although the engines had local copies of missing models. A load
+/// from a copy takes one or two seconds.
 #[gtest]
-fn engines_that_come_back_load_their_copies_first() {
+fn restarted_engines_load_their_copies_first() {
     let spec = spec(4);
     let mut engines: Vec<EngineState> =
         (0..2).map(|number| engine(number, &BTreeSet::new())).collect();
     engines[0].copies = BTreeSet::from([ModelName::new("m2")]);
     engines[1].copies = BTreeSet::from([ModelName::new("m3")]);
-    // Those without a copy are missed more.
+    // The models without a copy have the higher pressure.
     let demand = needs(&[2.0, 1.5, 0.5, 0.1]);
     let steps = plan(&spec, &demand, &engines, 8);
     let load = |engine: &str, model: &str| ReplicaStep::Load {
@@ -203,7 +210,7 @@
 }
 
 #[gtest]
-fn a_short_lull_takes_no_replica_away() {
+fn a_short_lull_in_demand_costs_no_replica() {
     let spec = spec(4);
     let full = BTreeSet::from([0, 1, 2]);
     let engines: Vec<EngineState> =
@@ -211,19 +218,21 @@
     let mut demand = needs(&[0.0, 0.0, 0.0, 0.7]);
     for model in ["m0", "m1", "m2"] {
         let need = demand.get_mut(&ModelName::new(model)).unwrap();
-        need.lately = 2.0;
+        need.recent_busy_engines = 2.0;
     }
-    // The model that is lost presses by less than the others did lately.
-    demand.get_mut(&ModelName::new("m3")).unwrap().busy = 0.0;
+    // The pressure of the missing model is lower than the recent pressure of
+    // the others.
+    demand.get_mut(&ModelName::new("m3")).unwrap().busy_engines = 0.0;
     expect_that!(plan(&spec, &demand, &engines, 2), elements_are![]);
     for model in ["m0", "m1", "m2"] {
-        demand.get_mut(&ModelName::new(model)).unwrap().lately = 0.0;
+        demand.get_mut(&ModelName::new(model)).unwrap().recent_busy_engines =
+            0.0;
     }
     expect_that!(plan(&spec, &demand, &engines, 2).len(), eq(1));
 }
 
 #[gtest]
-fn a_pressed_model_takes_places_of_an_idle_one() {
+fn a_busy_model_takes_the_places_of_idle_ones() {
     let spec = spec(4);
     let full = BTreeSet::from([0, 1, 2]);
     let mut engines: Vec<EngineState> =
@@ -232,55 +241,60 @@
     let demand = needs(&[0.0, 0.0, 0.0, 2.0]);
     for _ in 0..20 {
         for step in plan(&spec, &demand, &engines, 2) {
-            carry_out(&mut engines, &step);
+            apply(&mut engines, &step);
         }
     }
     expect_that!(holders(&engines, &ModelName::new("m3")), eq(4));
 }
 
 #[gtest]
-fn models_get_engines_for_their_adapters() {
+fn models_get_replicas_for_their_adapters() {
     let spec = spec(2);
     let mut engines: Vec<EngineState> = (0..4)
         .map(|number| engine(number, &BTreeSet::from([number % 2])))
         .collect();
-    let need = ModelNeed { busy: 0.01, adapters: 7.0, ..ModelNeed::default() };
+    let need = ModelNeed {
+        busy_engines: 0.01,
+        adapters_in_use: 7.0,
+        ..ModelNeed::default()
+    };
     let demand = BTreeMap::from([(ModelName::new("m0"), need)]);
     for _ in 0..20 {
         for step in plan(&spec, &demand, &engines, 2) {
-            carry_out(&mut engines, &step);
+            apply(&mut engines, &step);
         }
     }
     expect_that!(holders(&engines, &ModelName::new("m0")), eq(4));
 }
 
-/// Makes three engines full of busy models, and one model that is lost.
-fn full_of_busy_models(lost_ms: u64) -> Vec<ReplicaStep> {
+/// Returns the plan for two engines that are full of busy models while a
+/// fourth model has been missing for `missing_ms`.
+fn plan_for_full_engines(missing_ms: u64) -> Vec<ReplicaStep> {
     let spec = spec(4);
     let full = BTreeSet::from([0, 1, 2]);
     let engines: Vec<EngineState> =
         (0..2).map(|number| engine(number, &full)).collect();
     let mut demand = needs(&[2.0, 2.0, 2.0, 0.0]);
-    let lost = ModelNeed { lost_ms, ..ModelNeed::default() };
-    demand.insert(ModelName::new("m3"), lost);
+    let missing = ModelNeed { missing_ms, ..ModelNeed::default() };
+    demand.insert(ModelName::new("m3"), missing);
     plan(&spec, &demand, &engines, 2)
 }
 
 #[gtest]
-fn a_lost_model_presses_harder_with_time() {
-    // A busy model's engine is not worth it at once, but later.
-    expect_that!(full_of_busy_models(0), elements_are![]);
-    let later = full_of_busy_models(10_000);
+fn the_pressure_of_a_missing_model_grows_with_time() {
+    // No replica of a busy model is unloaded at first, but one is later.
+    expect_that!(plan_for_full_engines(0), elements_are![]);
+    let later = plan_for_full_engines(10_000);
     expect_true!(matches!(later[..], [ReplicaStep::Unload { .. }]));
 }
 
 #[gtest]
-fn the_model_that_is_missed_least_makes_way() {
+fn the_model_with_the_lowest_cost_is_unloaded() {
     let spec = spec(4);
     let full = BTreeSet::from([0, 1, 2]);
     let mut engines: Vec<EngineState> =
         (0..2).map(|number| engine(number, &full)).collect();
-    engines[0].load = 40.0;
+    engines[0].running_requests = 40.0;
     let demand = needs(&[0.9, 0.02, 0.9, 0.0]);
     let steps = plan(&spec, &demand, &engines, 2);
     let expected = ReplicaStep::Unload {
@@ -294,7 +308,7 @@
     ModelName::new(format!("m{model}"))
 }
 
-/// Carries plans out until there is none any more, or for so many rounds.
+/// Applies plans until a plan has no step, for at most `rounds` rounds.
 fn settle(
     spec: &EngineSpec,
     demand: &BTreeMap<ModelName, ModelNeed>,
@@ -304,7 +318,7 @@
     for _ in 0..rounds {
         let steps = plan(spec, demand, engines, 3);
         for step in &steps {
-            carry_out(engines, step);
+            apply(engines, step);
         }
         if steps.is_empty() {
             return;
@@ -312,11 +326,12 @@
     }
 }
 
-// Where more models were declared than engines had places for, each idle one
-// kept its only engine: 345 of 399 models were lost, the plan had no step for
-// the rest of the day, and whoever asked for one of those was refused.
+// Guards against models that stay missing while requests ask for them. With
+// more models declared than the engines had places for, each idle model kept
+// its only replica: 345 of 399 models were missing, the plan had no step for
+// the rest of the day, and every request for a missing model was refused.
 #[gtest]
-fn an_idle_model_makes_way_for_one_that_is_asked_for() {
+fn an_idle_model_is_unloaded_for_a_model_with_demand() {
     let spec = spec(8);
     let mut engines =
         vec![engine(0, &[0, 1, 2].into()), engine(1, &[3, 4, 5].into())];
@@ -327,24 +342,24 @@
     expect_that!(steps, elements_are![eq(&expected)]);
     settle(&spec, &demand, &mut engines, 10);
     expect_that!(holders(&engines, &name(7)), eq(1));
-    // The other one that is idle has no room made for it.
+    // No room is made for the other idle model.
     expect_that!(holders(&engines, &name(6)), eq(0));
 }
 
 #[gtest]
-fn busy_models_keep_their_engines_where_idle_ones_have_none() {
+fn busy_models_keep_their_replicas_while_idle_models_are_missing() {
     let spec = spec(40);
     let busy = BTreeSet::from([0, 1, 2]);
     let mut engines: Vec<EngineState> =
         (0..4).map(|number| engine(number, &busy)).collect();
     let mut demand = needs(&[3.0, 3.0, 3.0]);
     for model in 3..40 {
-        let lost = ModelNeed { lost_ms: 60_000, ..ModelNeed::default() };
-        demand.insert(name(model), lost);
+        let missing = ModelNeed { missing_ms: 60_000, ..ModelNeed::default() };
+        demand.insert(name(model), missing);
     }
     expect_that!(plan(&spec, &demand, &engines, 3), elements_are![]);
-    // One that is asked for gets one of their places, and no more.
-    demand.get_mut(&name(20)).unwrap().busy = 0.01;
+    // A model with demand gets one of the places, and no more.
+    demand.get_mut(&name(20)).unwrap().busy_engines = 0.01;
     settle(&spec, &demand, &mut engines, 10);
     expect_that!(holders(&engines, &name(20)), eq(1));
     let kept: usize =
@@ -353,25 +368,26 @@
 }
 
 #[gtest]
-fn free_places_are_taken_by_those_that_are_asked_for_first() {
+fn free_places_go_to_models_with_demand_first() {
     let spec = spec(8);
     let mut engines = vec![engine(0, &[0].into()), engine(1, &[].into())];
     let mut demand = needs(&[0.1]);
     for model in 1..8 {
-        let lost_ms = 60_000 - 1_000 * model as u64;
+        let missing_ms = 60_000 - 1_000 * model as u64;
         demand.insert(
             name(model),
-            ModelNeed { lost_ms, ..ModelNeed::default() },
+            ModelNeed { missing_ms, ..ModelNeed::default() },
         );
     }
-    demand.get_mut(&name(7)).unwrap().busy = 0.01;
+    demand.get_mut(&name(7)).unwrap().busy_engines = 0.01;
     let steps = plan(&spec, &demand, &engines, 1);
-    let loads_it = matches!(
+    let loads_m7 = matches!(
         &steps[..],
         [ReplicaStep::Load { model, .. }] if *model == name(7)
     );
-    expect_true!(loads_it);
-    // What is left free is filled with idle ones, which may be asked for next.
+    expect_true!(loads_m7);
+    // The remaining places are filled with idle models, which may be requested
+    // next.
     settle(&spec, &demand, &mut engines, 10);
     let held: usize =
         (0..8).map(|model| holders(&engines, &name(model))).sum();
@@ -381,7 +397,7 @@
 #[gtest]
 fn an_idle_model_is_loaded_once_although_an_engine_has_a_copy() {
     let mut spec = spec(8);
-    // No adapters ask for further engines.
+    // Without adapters, no model gets further replicas for adapters.
     spec.models.iter_mut().for_each(|model| model.adapters.clear());
     let mut engines =
         vec![engine(0, &[0, 1].into()), engine(1, &[2, 3].into())];
@@ -398,11 +414,13 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn whoever_is_asked_for_comes_up_where_models_are_more_than_places(
+    fn models_with_demand_are_loaded_where_models_outnumber_places(
         held in prop::collection::vec(
             prop::collection::btree_set(0_usize..40, 0..=3), 3..8,
         ),
-        asked in prop::collection::btree_map(0_usize..40, 0.001_f64..3.0, 1..9),
+        requested in prop::collection::btree_map(
+            0_usize..40, 0.001_f64..3.0, 1..9,
+        ),
     ) {
         let spec = spec(40);
         let mut engines: Vec<EngineState> = held
@@ -410,25 +428,28 @@
             .enumerate()
             .map(|(number, models)| engine(number, models))
             .collect();
-        let demand: BTreeMap<ModelName, ModelNeed> = asked
+        let demand: BTreeMap<ModelName, ModelNeed> = requested
             .iter()
             .map(|(model, busy)| {
-                let need = ModelNeed { busy: *busy, ..ModelNeed::default() };
+                let need = ModelNeed {
+                    busy_engines: *busy,
+                    ..ModelNeed::default()
+                };
                 (name(*model), need)
             })
             .collect();
         for _ in 0..80 {
             let steps = plan(&spec, &demand, &engines, 3);
             for step in &steps {
-                carry_out(&mut engines, step);
+                apply(&mut engines, step);
             }
             for engine in &engines {
                 prop_assert!(used_mb(&engine.holding, &spec) <= 220);
             }
         }
-        for model in asked.keys() {
-            let there = holders(&engines, &name(*model));
-            prop_assert!(there >= 1, "m{model} is not there");
+        for model in requested.keys() {
+            let held = holders(&engines, &name(*model));
+            prop_assert!(held >= 1, "no engine holds m{model}");
         }
     }
 }
--- a/crates/valehold-core/src/fleet/tests/replicas_in_bounds.rs
+++ b/crates/valehold-core/src/fleet/tests/replicas_in_bounds.rs
@@ -1,4 +1,5 @@
-//! Models stay reachable inside the bounds in which they are used.
+//! Tests of replica plans with region bounds: models stay available inside the
+//! bounds in which requests use the models.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +14,7 @@
         catalog::EngineSpec,
         replicas::{
             EngineState, LoadSource, ModelNeed, ModelNeeds, Needs,
-            ReplicaStep, plan_by_place,
+            ReplicaStep, plan_with_bounds,
         },
         topology::Topology,
     },
@@ -21,16 +22,17 @@
     testing::cases,
 };
 
-/// Data centres, and the region of each.
+/// The data centres, each with its region.
 const PLACES: [(&str, &str); 4] =
     [("n1", "north"), ("n2", "north"), ("s1", "south"), ("e1", "east")];
 
-/// Bounds of which one lies inside another, and one meets two.
+/// Region bounds, some of which contain or overlap others.
 const BOUNDS: [&[&str]; 4] =
     [&["north"], &["south"], &["north", "east"], &["south", "east"]];
 
-/// How long a plan waits before a lost model presses as hard as any, in ms.
-const LONG_LOST_MS: u64 = 60_000;
+/// A time after which a missing model has a higher pressure than any other, in
+/// ms.
+const LONG_MISSING_MS: u64 = 60_000;
 
 fn topology() -> Topology {
     let region = |(dc, region): (&str, &str)| {
@@ -52,11 +54,11 @@
                 .collect(),
         },
         loading: None,
-        busy: false,
-        sound: true,
+        has_pending_order: false,
+        is_available: true,
         copies: BTreeSet::new(),
-        is_counted: false,
-        load: 0.0,
+        has_counted_load: false,
+        running_requests: 0.0,
     }
 }
 
@@ -68,9 +70,11 @@
     RegionBound::within(BOUNDS[number])
 }
 
-/// Needs by the demand anywhere, and the models used inside bounds.
+/// Returns needs with the demand `busy` for each model; `used` lists the
+/// bounds and the models that are used inside.
 fn needs(busy: &[f64], used: &BTreeSet<(usize, usize)>) -> Needs {
-    let busy_need = |busy: f64| ModelNeed { busy, ..ModelNeed::default() };
+    let busy_need =
+        |busy_engines: f64| ModelNeed { busy_engines, ..ModelNeed::default() };
     let all = busy.iter().enumerate();
     let everywhere = all.map(|(model, busy)| (name(model), busy_need(*busy)));
     let mut bounds: BTreeMap<RegionBound, ModelNeeds> = BTreeMap::new();
@@ -81,14 +85,14 @@
     Needs { everywhere: everywhere.collect(), bounds }
 }
 
-/// Notes that models were missed for long.
-fn long_lost(needs: &mut Needs, engines: &[EngineState]) {
+/// Marks all models without a holder as missing for a long time.
+fn mark_long_missing(needs: &mut Needs, engines: &[EngineState]) {
     let anywhere = RegionBound::Anywhere;
     let everywhere = std::iter::once((&anywhere, &mut needs.everywhere));
     for (bound, needs) in everywhere.chain(&mut needs.bounds) {
         for (model, need) in needs {
             let held = holders(engines, bound, model);
-            need.lost_ms = if held == 0 { LONG_LOST_MS } else { 0 };
+            need.missing_ms = if held == 0 { LONG_MISSING_MS } else { 0 };
         }
     }
 }
@@ -103,7 +107,9 @@
     model: &ModelName,
 ) -> usize {
     let holds = |e: &&EngineState| {
-        e.sound && is_inside(bound, e) && e.holding.models.contains_key(model)
+        e.is_available
+            && is_inside(bound, e)
+            && e.holding.models.contains_key(model)
     };
     engines.iter().filter(holds).count()
 }
@@ -115,8 +121,8 @@
     }
 }
 
-/// Carries a step out at once.
-fn carry_out(engines: &mut [EngineState], step: &ReplicaStep) {
+/// Applies a step to the state of the engines.
+fn apply(engines: &mut [EngineState], step: &ReplicaStep) {
     let id = engine_of(step);
     let engine = engines.iter_mut().find(|e| e.id == *id).unwrap();
     match step {
@@ -129,19 +135,20 @@
     }
 }
 
-fn step_all(
+/// Plans once, applies all steps, and returns the steps.
+fn plan_and_apply(
     spec: &EngineSpec,
     needs: &Needs,
     engines: &mut [EngineState],
 ) -> Vec<ReplicaStep> {
-    let steps = plan_by_place(spec, needs, engines, Some(&topology()), 4);
+    let steps = plan_with_bounds(spec, needs, engines, Some(&topology()), 4);
     for step in &steps {
-        carry_out(engines, step);
+        apply(engines, step);
     }
     steps
 }
 
-/// Returns each bound's models, and those that are used anywhere.
+/// Returns the models of each bound, and all models with no bound.
 fn claims(needs: &Needs) -> Vec<(RegionBound, ModelName)> {
     let anywhere = (&RegionBound::Anywhere, &needs.everywhere);
     let all = std::iter::once(anywhere).chain(&needs.bounds);
@@ -160,47 +167,49 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn no_plan_leaves_a_model_unreachable_inside_a_bound(
+    fn no_plan_leaves_a_model_without_a_replica_inside_a_bound(
         held in prop::collection::vec(
             prop::collection::btree_set(0_usize..6, 0..=3), 4..10,
         ),
-        sound in prop::collection::vec(prop::bool::weighted(0.8), 10),
+        available in prop::collection::vec(prop::bool::weighted(0.8), 10),
         busy in prop::collection::vec(0.0_f64..3.0, 6),
         used in used(),
-        is_long in prop::bool::ANY,
+        is_long_missing in prop::bool::ANY,
     ) {
         let spec = spec(6);
         let numbered = held.iter().enumerate();
         let mut engines: Vec<EngineState> =
             numbered.map(|(number, models)| engine(number, models)).collect();
-        for (engine, sound) in engines.iter_mut().zip(&sound) {
-            engine.sound = *sound;
+        for (engine, available) in engines.iter_mut().zip(&available) {
+            engine.is_available = *available;
         }
         let mut needs = needs(&busy, &used);
         let claims = claims(&needs);
         for _ in 0..12 {
-            if is_long {
-                long_lost(&mut needs, &engines);
+            if is_long_missing {
+                mark_long_missing(&mut needs, &engines);
             }
             let before = engines.clone();
-            let steps = step_all(&spec, &needs, &mut engines);
+            let steps = plan_and_apply(&spec, &needs, &mut engines);
             for (bound, model) in &claims {
                 let held_before = holders(&before, bound, model);
                 let held = holders(&engines, bound, model);
                 prop_assert!(
                     held >= held_before.min(1),
-                    "{model} was lost inside {bound:?}",
+                    "no engine inside {bound:?} holds {model} any more",
                 );
                 let has_room = |engine: &&EngineState| {
-                    engine.sound
+                    engine.is_available
                         && is_inside(bound, engine)
                         && !steps.iter().any(|s| *engine_of(s) == engine.id)
                         && used_mb(&engine.holding, &spec) + 70 <= 220
                 };
                 let loads = steps.len();
                 prop_assert!(
-                    held > 0 || loads >= 4 || !engines.iter().any(|e| has_room(&e)),
-                    "{model} stays missed inside {bound:?}",
+                    held > 0
+                        || loads >= 4
+                        || !engines.iter().any(|e| has_room(&e)),
+                    "{model} is not loaded inside {bound:?} despite room",
                 );
             }
             for engine in &engines {
@@ -210,7 +219,7 @@
     }
 
     #[test]
-    fn a_missed_model_comes_back_inside_its_bound(
+    fn a_missing_model_is_loaded_inside_its_bound(
         held in prop::collection::vec(
             prop::collection::btree_set(0_usize..6, 3), 8..=8,
         ),
@@ -225,19 +234,19 @@
             numbered.map(|(number, models)| engine(number, models)).collect();
         let mut needs = needs(&busy, &used);
         for _ in 0..60 {
-            long_lost(&mut needs, &engines);
-            step_all(&spec, &needs, &mut engines);
+            mark_long_missing(&mut needs, &engines);
+            plan_and_apply(&spec, &needs, &mut engines);
         }
         for (bound, model) in claims(&needs) {
             prop_assert!(
                 holders(&engines, &bound, &model) > 0,
-                "{model} is missed inside {bound:?}",
+                "no engine inside {bound:?} holds {model}",
             );
         }
     }
 
     #[test]
-    fn plans_for_bounds_come_to_rest(
+    fn plans_with_bounds_converge(
         busy in prop::collection::vec(0.0_f64..3.0, 6),
         used in used(),
     ) {
@@ -247,29 +256,30 @@
         let needs = needs(&busy, &used);
         let mut steps = Vec::new();
         for _ in 0..60 {
-            steps = step_all(&spec, &needs, &mut engines);
+            steps = plan_and_apply(&spec, &needs, &mut engines);
         }
-        prop_assert!(steps.is_empty(), "still {steps:?}");
+        prop_assert!(steps.is_empty(), "the plan still has steps: {steps:?}");
     }
 }
 
-/// Needs of models that nobody uses but one, inside the south.
-fn used_in_the_south(model: usize, lost_ms: u64) -> Needs {
+/// Returns needs of idle models, of which one is used inside the south.
+fn used_in_the_south(model: usize, missing_ms: u64) -> Needs {
     let mut needs = needs(&[0.0; 9], &BTreeSet::from([(1, model)]));
     for need in needs.bounds.values_mut().flat_map(BTreeMap::values_mut) {
-        need.lost_ms = lost_ms;
+        need.missing_ms = missing_ms;
     }
     needs
 }
 
 #[gtest]
-fn a_replica_outside_counts_nothing_inside() {
+fn a_replica_outside_does_not_satisfy_a_bound() {
     let spec = spec(2);
     let mut engines: Vec<EngineState> =
         (0..4).map(|number| engine(number, &BTreeSet::from([0]))).collect();
     engines[0] = engine(0, &BTreeSet::from([0, 1]));
     let needs = used_in_the_south(1, 0);
-    let steps = plan_by_place(&spec, &needs, &engines, Some(&topology()), 2);
+    let steps =
+        plan_with_bounds(&spec, &needs, &engines, Some(&topology()), 2);
     let expected = ReplicaStep::Load {
         engine: UpstreamId::new("e2"),
         model: name(1),
@@ -279,12 +289,13 @@
 }
 
 #[gtest]
-fn a_model_that_is_gone_is_loaded_inside_its_bound_first() {
+fn a_model_without_any_replica_is_loaded_inside_its_bound_first() {
     let spec = spec(2);
     let engines: Vec<EngineState> =
         (0..4).map(|number| engine(number, &BTreeSet::from([0]))).collect();
     let needs = used_in_the_south(1, 0);
-    let steps = plan_by_place(&spec, &needs, &engines, Some(&topology()), 2);
+    let steps =
+        plan_with_bounds(&spec, &needs, &engines, Some(&topology()), 2);
     let expected = ReplicaStep::Load {
         engine: UpstreamId::new("e2"),
         model: name(1),
@@ -293,19 +304,20 @@
     expect_that!(steps, elements_are![eq(&expected)]);
 }
 
-/// Three models of which each is held once, in the south, leave no room there
-/// for one that is used inside the south.
+/// The only engine in the south is full of three models that no other engine
+/// holds, and a fourth model is used inside the south. One of the three has to
+/// be loaded elsewhere before it can be unloaded there.
 #[gtest]
-fn the_last_of_their_kind_move_out_of_a_full_bound() {
+fn a_last_replica_is_relocated_out_of_a_full_bound() {
     let spec = spec(4);
     let mut engines: Vec<EngineState> =
         (0..4).map(|number| engine(number, &BTreeSet::from([3]))).collect();
     engines[2] = engine(2, &BTreeSet::from([0, 1, 2]));
-    let needs = used_in_the_south(3, LONG_LOST_MS);
+    let needs = used_in_the_south(3, LONG_MISSING_MS);
     let south = RegionBound::within(["south"]);
     let mut steps = Vec::new();
     for _ in 0..3 {
-        steps.extend(step_all(&spec, &needs, &mut engines));
+        steps.extend(plan_and_apply(&spec, &needs, &mut engines));
     }
     expect_that!(holders(&engines, &south, &name(3)), eq(1));
     for model in 0..3 {
@@ -324,7 +336,7 @@
     let full = BTreeSet::from([0, 1]);
     let engines: Vec<EngineState> =
         (0..3).map(|number| engine(number, &full)).collect();
-    let needs = used_in_the_south(1, LONG_LOST_MS);
-    let steps = plan_by_place(&spec, &needs, &engines, None, 2);
+    let needs = used_in_the_south(1, LONG_MISSING_MS);
+    let steps = plan_with_bounds(&spec, &needs, &engines, None, 2);
     expect_that!(steps, elements_are![]);
 }
--- a/crates/valehold-gateway/src/control/needs.rs
+++ b/crates/valehold-gateway/src/control/needs.rs
@@ -39,9 +39,9 @@
     let mut needs = ModelNeeds::new();
     for (variant, one) in inside.flat_map(|(_, variants)| variants) {
         let need = needs.entry(variant.model.clone()).or_default();
-        need.busy += f64::from(one.busy);
+        need.busy_engines += f64::from(one.busy);
         if variant.adapter.is_some() {
-            need.adapters += expected_in_use(one);
+            need.adapters_in_use += expected_in_use(one);
         }
     }
     needs
@@ -55,7 +55,7 @@
 ) {
     for (model, since) in lost {
         let need = needs.entry(model.clone()).or_default();
-        need.lost_ms = now.since(*since);
+        need.missing_ms = now.since(*since);
     }
 }
 
@@ -67,11 +67,12 @@
     replicas: BTreeMap<ModelName, usize>,
     now: Millis,
 ) {
-    let busy = needs.iter().map(|(model, need)| (model.clone(), need.busy));
+    let busy =
+        needs.iter().map(|(model, need)| (model.clone(), need.busy_engines));
     peaks.update(&busy.collect(), &replicas, now);
     for model in replicas.into_keys() {
         let need = needs.entry(model.clone()).or_default();
-        need.lately = peaks.get(&model);
+        need.recent_busy_engines = peaks.get(&model);
     }
 }
 
--- a/crates/valehold-gateway/src/control/placer/models.rs
+++ b/crates/valehold-gateway/src/control/placer/models.rs
@@ -116,14 +116,16 @@
                 data_centre: entry.data_centre.clone(),
                 holding: entry.usable(),
                 loading: entry.loading.clone(),
-                busy: entry.busy || !entry.may_order(now),
-                sound: entry.is_sound(),
+                has_pending_order: entry.busy || !entry.may_order(now),
+                is_available: entry.is_sound(),
                 copies: match self.mechanisms.copies_first {
                     true => entry.copies.clone(),
                     false => BTreeSet::new(),
                 },
-                is_counted: self.weight_loads.is_counted(&entry.next_place()),
-                load: load_of(loads, &entry.start),
+                has_counted_load: self
+                    .weight_loads
+                    .is_counted(&entry.next_place()),
+                running_requests: load_of(loads, &entry.start),
             })
             .collect();
         let needs = self.needs(now, service, demand, &states);
@@ -131,8 +133,9 @@
             log_needs(&needs.everywhere, &states);
         }
         let topology = Some(&self.topology);
-        let steps =
-            replicas::plan_by_place(spec, &needs, &states, topology, allowed);
+        let steps = replicas::plan_with_bounds(
+            spec, &needs, &states, topology, allowed,
+        );
         for step in steps {
             match step {
                 ReplicaStep::Load { engine, model, source } => {
@@ -230,8 +233,10 @@
     for (model, need) in needs {
         let holds = |e: &&EngineState| e.holding.models.contains_key(model);
         let held = engines.iter().filter(holds).count();
-        let ModelNeed { busy, adapters, .. } = need;
-        log::debug!("{model}: busy {busy:.2}, {adapters:.1} adapters, {held}");
+        let ModelNeed { busy_engines, adapters_in_use, .. } = need;
+        log::debug!(
+            "{model}: busy {busy_engines:.2}, {adapters_in_use:.1} adapters, {held}"
+        );
     }
 }
 
