--- a/crates/valehold-core/src/fleet/adapters.rs
+++ b/crates/valehold-core/src/fleet/adapters.rs
@@ -102,6 +102,8 @@
     best.map(|host| host.engine)
 }
 
+/// Returns whether an engine has a free adapter place, and enough memory for
+/// an adapter of a model.
 fn has_room(holding: &Holding, model: &ModelName, spec: &EngineSpec) -> bool {
     if holding.adapters() >= spec.adapter_places {
         return false;
@@ -122,8 +124,9 @@
     holding.models.iter().map(size_of).sum()
 }
 
-/// Returns the adapter with the fewest requests that may be unloaded from an
-/// engine, with its requests per second.
+/// Returns the adapter with the fewest requests among the adapters that may be
+/// unloaded from an engine, with its requests per second, or `None` if no
+/// adapter may be unloaded.
 fn least_used(
     host: &AdapterHost<'_>,
     usage_of: impl Fn(&Variant) -> AdapterUsage,
--- a/crates/valehold-core/src/fleet/replicas/claim.rs
+++ b/crates/valehold-core/src/fleet/replicas/claim.rs
@@ -1,7 +1,7 @@
 //! Claims: the requirement of a model for replicas, on any engine or inside
 //! one bound.
 //!
-//! The pressure of a claim is a measure of the need for replicas. It is the
+//! The pressure of a claim measures the need for replicas. The pressure is the
 //! share of each engine's time that requests for the model take, or a value
 //! for the use of places for adapters, whichever is greater.
 
--- a/crates/valehold-core/src/fleet/replicas/mod.rs
+++ b/crates/valehold-core/src/fleet/replicas/mod.rs
@@ -3,7 +3,13 @@
 //! Every model keeps a replica on at least one engine. A model that is used by
 //! requests which have to stay inside a region bound keeps a replica on at
 //! least one engine inside the bound. An unload is never planned for the last
-//! engine that holds a model, nor for the last one inside a bound.
+//! engine inside a bound that holds a model. For the last engine of all, an
+//! unload is planned only if the model is idle and places are scarce (see
+//! below).
+//!
+//! A place is room for one model on an engine. The holders of a model are the
+//! available engines that hold or load the model. A model without a holder,
+//! overall or inside a bound, is missing.
 //!
 //! Further replicas follow the pressure of each model. Pressure is the share
 //! of the engines' time that the requests for the model take, or a value for
@@ -12,15 +18,16 @@
 //! replicas than their target lose replicas, first where the remaining
 //! pressure is lowest.
 //!
-//! The pressure of a model that no engine holds grows with time. Engines that
+//! The pressure of a missing model grows with time. Engines that
 //! crash often restart with their local copies before another engine could
-//! load the model, so a replica of a busy model is not given up at once.
+//! load the model, so no replica of a busy model is unloaded for a missing
+//! model at once.
 //!
 //! If more models are declared than the engines have places for, models
 //! without demand lose the guarantee of one replica. The last replica of an
-//! idle model may then be unloaded for a model with demand. An idle model that
-//! no engine holds is loaded if memory is free, but no other model is unloaded
-//! for it.
+//! idle model may then be unloaded for a model with demand. A missing
+//! idle model is loaded if memory is free, but no other model is unloaded to
+//! make room.
 //!
 //! - `need` defines the demand for models, overall and inside bounds.
 //! - `claim` counts the holders of a model inside a bound, and computes the
--- a/crates/valehold-core/src/fleet/replicas/planner.rs
+++ b/crates/valehold-core/src/fleet/replicas/planner.rs
@@ -193,6 +193,8 @@
         std::iter::once(model).chain(inside)
     }
 
+    /// Adds `change` to the number of engines that hold a model, for each
+    /// claim that the engine counts for.
     fn count_resident(&mut self, engine: usize, model: usize, change: isize) {
         let claims: Vec<usize> = self.claims_at(engine, model).collect();
         for claim in claims {
@@ -201,6 +203,8 @@
         }
     }
 
+    /// Adds `change` to the number of holders of a model, for each claim that
+    /// the engine counts for.
     fn count_holder(&mut self, engine: usize, model: usize, change: isize) {
         let claims: Vec<usize> = self.claims_at(engine, model).collect();
         for claim in claims {
@@ -287,6 +291,7 @@
     }
 }
 
+/// Returns the memory that a model and its adapters use on an engine, in MB.
 fn held_mb(state: &EngineState, model: &ModelSpec) -> u64 {
     let adapters = state.holding.models.get(&model.name);
     let adapters = adapters.map_or(0, |adapters| adapters.len() as u64);
--- a/crates/valehold-core/src/fleet/replicas/room.rs
+++ b/crates/valehold-core/src/fleet/replicas/room.rs
@@ -73,12 +73,17 @@
                 && !engine.will_hold(model)
                 && engine.used_mb + size_mb <= self.spec.memory_mb
         });
-        let holding_centres = self.data_centres_holding(model);
+        let data_centres = self.data_centres_holding(model);
         let rank = |index: usize| {
             let engine = &self.engines[index];
             let has_no_copy = !engine.copies.contains(&model);
-            let is_near = holding_centres.contains(&engine.state.data_centre);
-            (self.is_reserved_for_another(index, model), has_no_copy, is_near)
+            let has_holder_nearby =
+                data_centres.contains(&engine.state.data_centre);
+            (
+                self.is_reserved_for_another(index, model),
+                has_no_copy,
+                has_holder_nearby,
+            )
         };
         let ranked = candidates.map(|index| (rank(index), index));
         let running =
--- a/crates/valehold-core/src/fleet/tests/replicas.rs
+++ b/crates/valehold-core/src/fleet/tests/replicas.rs
@@ -39,11 +39,11 @@
 
 /// Returns a holding of models, each with its adapters.
 pub(super) fn holding(models: &[(&str, &[&str])]) -> Holding {
-    let one = |(model, adapters): &(&str, &[&str])| {
+    let entry = |(model, adapters): &(&str, &[&str])| {
         let adapters = adapters.iter().map(AdapterName::new).collect();
         (ModelName::new(model), adapters)
     };
-    Holding { sequence: 0, models: models.iter().map(one).collect() }
+    Holding { sequence: 0, models: models.iter().map(entry).collect() }
 }
 
 fn engine(number: usize, models: &BTreeSet<usize>) -> EngineState {
@@ -66,11 +66,11 @@
 }
 
 fn needs(busy: &[f64]) -> BTreeMap<ModelName, ModelNeed> {
-    let one = |(number, busy): (usize, &f64)| {
+    let entry = |(number, busy): (usize, &f64)| {
         let need = ModelNeed { busy_engines: *busy, ..ModelNeed::default() };
         (ModelName::new(format!("m{number}")), need)
     };
-    busy.iter().enumerate().map(one).collect()
+    busy.iter().enumerate().map(entry).collect()
 }
 
 /// Applies a step to the state of the engines.
@@ -155,8 +155,8 @@
         busy in prop::collection::vec(0.0_f64..3.0, 6),
     ) {
         let spec = spec(6);
-        let one = |number| engine(number, &BTreeSet::from([number % 6]));
-        let mut engines: Vec<EngineState> = (0..6).map(one).collect();
+        let engine_of = |number| engine(number, &BTreeSet::from([number % 6]));
+        let mut engines: Vec<EngineState> = (0..6).map(engine_of).collect();
         let demand = needs(&busy);
         let mut steps = Vec::new();
         for _ in 0..60 {
@@ -326,7 +326,7 @@
     }
 }
 
-// Guards against models that stay missing while requests ask for them. With
+// Guards against models that stay missing while requests name the models. With
 // more models declared than the engines had places for, each idle model kept
 // its only replica: 345 of 399 models were missing, the plan had no step for
 // the rest of the day, and every request for a missing model was refused.
--- a/crates/valehold-core/src/fleet/tests/replicas_in_bounds.rs
+++ b/crates/valehold-core/src/fleet/tests/replicas_in_bounds.rs
@@ -152,11 +152,11 @@
 fn claims(needs: &Needs) -> Vec<(RegionBound, ModelName)> {
     let anywhere = (&RegionBound::Anywhere, &needs.everywhere);
     let all = std::iter::once(anywhere).chain(&needs.bounds);
-    let one = |(bound, models): (&RegionBound, &ModelNeeds)| {
+    let pairs = |(bound, models): (&RegionBound, &ModelNeeds)| {
         let models = models.keys().cloned();
         models.map(|model| (bound.clone(), model)).collect::<Vec<_>>()
     };
-    all.flat_map(one).collect()
+    all.flat_map(pairs).collect()
 }
 
 fn used() -> impl Strategy<Value = BTreeSet<(usize, usize)>> {
@@ -251,8 +251,8 @@
         used in used(),
     ) {
         let spec = spec(6);
-        let one = |number| engine(number, &BTreeSet::from([number % 6]));
-        let mut engines: Vec<EngineState> = (0..8).map(one).collect();
+        let engine_of = |number| engine(number, &BTreeSet::from([number % 6]));
+        let mut engines: Vec<EngineState> = (0..8).map(engine_of).collect();
         let needs = needs(&busy, &used);
         let mut steps = Vec::new();
         for _ in 0..60 {
