--- a/crates/valehold-core/src/fleet/replicas/claim.rs
+++ b/crates/valehold-core/src/fleet/replicas/claim.rs
@@ -2,13 +2,14 @@
 //! one bound.
 //!
 //! The pressure of a claim measures the need for replicas. The pressure is the
-//! share of each engine's time that requests for the model take, or a value
-//! for the use of places for adapters, whichever is greater.
+//! share of each engine's time that requests for the model take, or the
+//! weighted share of the adapter places that are needed at once, whichever is
+//! greater.
 
 use super::need::ModelNeed;
 
-/// The pressure of adapters that use all adapter places of a model's engines.
-/// Requests that keep the engines fully busy have a pressure of 1.
+/// The pressure if the adapters in use need all adapter places of a model's
+/// engines. Requests that keep the engines fully busy cause a pressure of 1.
 const FULL_ADAPTER_PLACES_PRESSURE: f64 = 0.5;
 
 /// The minimum pressure of a model that no available engine holds.
--- a/crates/valehold-core/src/fleet/replicas/mod.rs
+++ b/crates/valehold-core/src/fleet/replicas/mod.rs
@@ -12,8 +12,8 @@
 //! overall or inside a bound, is missing.
 //!
 //! Further replicas follow the pressure of each model. Pressure is the share
-//! of the engines' time that the requests for the model take, or a value for
-//! the share of adapter places that are needed at once, whichever is greater.
+//! of the engines' time that the requests for the model take, or the weighted
+//! share of adapter places that are needed at once, whichever is greater.
 //! Places go to the models with the highest pressure. Models with more
 //! replicas than their target lose replicas, first where the remaining
 //! pressure is lowest.
--- a/crates/valehold-core/src/fleet/replicas/planner.rs
+++ b/crates/valehold-core/src/fleet/replicas/planner.rs
@@ -64,9 +64,8 @@
     pub(super) bound_claims: Vec<Vec<usize>>,
     /// For each bound, the number of its claims without a holder.
     missing_per_bound: Vec<usize>,
-    /// Models that are being loaded on another engine, so that the replica
-    /// inside a bound can then be unloaded. No second model is relocated for
-    /// the same purpose.
+    /// The models that are being relocated out of a bound to make room for a
+    /// missing model. A relocation counts for one missing model only.
     pub(super) relocating: Vec<usize>,
     steps: Vec<ReplicaStep>,
     /// The number of loads that the weight store still allows.
