--- a/crates/valehold-core/src/fleet/catalog.rs
+++ b/crates/valehold-core/src/fleet/catalog.rs
@@ -52,7 +52,7 @@
     /// Whether the answers are event streams.
     pub streaming: bool,
     /// The maximum duration of a request, in ms; 0 if the route declares none.
-    pub timeout_ms: u64,
+    pub max_duration_ms: u64,
     /// The objective for the time until an answer begins, in ms.
     pub begin_within_ms: u64,
     /// The objective for the longest pause between the events of an answer, in
@@ -153,13 +153,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
     /// The maximum size of the head of a request, in bytes.
-    pub max_header_bytes: usize,
+    pub header_limit_bytes: usize,
     /// The maximum size of the body of a request, in bytes.
-    pub max_body_bytes: usize,
+    pub body_limit_bytes: usize,
     /// How long a caller may take to send the head of a request, in ms.
-    pub header_timeout_ms: u64,
+    pub header_read_timeout_ms: u64,
     /// How long a connection may stay idle between requests, in ms.
-    pub idle_timeout_ms: u64,
+    pub keep_alive_timeout_ms: u64,
 }
 
 /// One accepted configuration.
@@ -189,13 +189,13 @@
     /// # let route = |prefix: &str| Route {
     /// #     host: "a.example".into(), prefix: prefix.into(),
     /// #     targets: vec![], repetition: Repetition::AtMostOnce,
-    /// #     streaming: false, timeout_ms: 1, begin_within_ms: 1,
+    /// #     streaming: false, max_duration_ms: 1, begin_within_ms: 1,
     /// #     pause_within_ms: 0, rank: 0,
     /// #     attempts: 1, public: false, bound: Default::default(),
     /// # };
     /// # let limits = CallerLimits {
-    /// #     max_header_bytes: 1, max_body_bytes: 1, header_timeout_ms: 1,
-    /// #     idle_timeout_ms: 1,
+    /// #     header_limit_bytes: 1, body_limit_bytes: 1,
+    /// #     header_read_timeout_ms: 1, keep_alive_timeout_ms: 1,
     /// # };
     /// let catalog = Catalog {
     ///     version: 1,
--- a/crates/valehold-core/src/fleet/tests/catalog.rs
+++ b/crates/valehold-core/src/fleet/tests/catalog.rs
@@ -24,7 +24,7 @@
         targets: weights.iter().enumerate().map(target).collect(),
         repetition: Repetition::AtMostOnce,
         streaming: false,
-        timeout_ms: 1_000,
+        max_duration_ms: 1_000,
         begin_within_ms: 100,
         pause_within_ms: 0,
         rank: 0,
@@ -40,10 +40,10 @@
         routes: prefixes.iter().map(|prefix| route(prefix, &[1])).collect(),
         services: Default::default(),
         limits: CallerLimits {
-            max_header_bytes: 1_000,
-            max_body_bytes: 1_000,
-            header_timeout_ms: 1_000,
-            idle_timeout_ms: 1_000,
+            header_limit_bytes: 1_000,
+            body_limit_bytes: 1_000,
+            header_read_timeout_ms: 1_000,
+            keep_alive_timeout_ms: 1_000,
         },
         workspaces: None,
     }
--- a/crates/valehold-gateway/src/control/feeds/tests.rs
+++ b/crates/valehold-gateway/src/control/feeds/tests.rs
@@ -101,10 +101,10 @@
 
 fn catalog(version: u64) -> Catalog {
     let limits = CallerLimits {
-        max_header_bytes: 1,
-        max_body_bytes: 1,
-        header_timeout_ms: 1,
-        idle_timeout_ms: 1,
+        header_limit_bytes: 1,
+        body_limit_bytes: 1,
+        header_read_timeout_ms: 1,
+        keep_alive_timeout_ms: 1,
     };
     Catalog {
         version,
--- a/crates/valehold-gateway/src/traffic/route.rs
+++ b/crates/valehold-gateway/src/traffic/route.rs
@@ -136,12 +136,12 @@
         }
     };
     let deadline_ms = said.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
-    let held_ms = match route.timeout_ms {
+    let held_ms = match route.max_duration_ms {
         0 => deadline_ms,
-        timeout_ms => deadline_ms.min(timeout_ms),
+        max_duration_ms => deadline_ms.min(max_duration_ms),
     };
     let deadline = began + held_ms;
-    let limit = catalog.limits.max_body_bytes;
+    let limit = catalog.limits.body_limit_bytes;
     let body = read_body(app, body, limit, deadline)
         .await
         .map_err(|refusal| (id, refusal))?;
--- a/crates/valehold-gateway/src/traffic/server.rs
+++ b/crates/valehold-gateway/src/traffic/server.rs
@@ -174,7 +174,9 @@
         let view = self.app.shared.view.load();
         let limits = view.catalog.as_ref().map(|catalog| catalog.limits);
         limits.map_or(REST, |limits| {
-            let longest = limits.idle_timeout_ms.max(limits.header_timeout_ms);
+            let longest = limits
+                .keep_alive_timeout_ms
+                .max(limits.header_read_timeout_ms);
             Duration::from_millis(longest)
         })
     }
