--- a/crates/valehold-gateway/src/control/placer/tests.rs
+++ b/crates/valehold-gateway/src/control/placer/tests.rs
@@ -17,7 +17,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, EngineHolding, Holding, Listing, ModelSpec, RegionBound,
+        BoundVariant, EngineHolding, Holding, Listing, ModelSpec, RegionBound,
         Upstream, UpstreamStart, Variant, catalog::EngineSpec,
         topology::Topology,
     },
@@ -405,7 +405,10 @@
             let variant = |model| Variant::adapted(model, "a1");
             for model in ["alpha", "beta", "gamma"] {
                 let (bound, variant) = (bound.clone(), variant(model));
-                placer.on_load_request(Asked { bound, variant }, at(1_000));
+                placer.on_load_request(
+                    BoundVariant { bound, variant },
+                    at(1_000),
+                );
             }
             placer.place_requested_adapters(
                 at(1_000),
