--- /dev/null
+++ b/crates/valehold-gateway/tests/recorded_bytes.rs
@@ -0,0 +1,716 @@
+//! The bytes of datagrams and states, as recorded from an earlier build.
+//!
+//! Gateways of two builds run side by side during a roll-out and read one
+//! another's datagrams as long as `FORMAT` is equal. Postcard writes fields
+//! and variants by position and without names, so a changed order or type of a
+//! field goes unnoticed when one build encodes and decodes: gateways of the
+//! other build would misread the values or reject the datagram.
+//!
+//! The recorded bytes are those of revision d6eeeed. A change of the format
+//! gives `FORMAT` another number and records them again.
+
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    fmt::Write,
+    net::{Ipv6Addr, SocketAddr},
+    sync::Arc,
+};
+
+use googletest::prelude::*;
+use valehold_core::{
+    fleet::{
+        Asked, Catalog, EngineHolding, Evacuations, Holding, Listing,
+        ListingDelta, RegionBound, Upstream, UpstreamStart, Variant,
+        catalog::{
+            CallerLimits, ColdSpec, EngineSpec, ModelSpec, Repetition, Route,
+            Service, Target,
+        },
+        cold::{PermitReply, PermitRequest},
+        crashes::{
+            AnsweredWord, CrashWord, CrashWords, RefusedWord, RequestContent,
+        },
+        paces::{LogRatio, PaceObservation, PaceUpdate, Paces},
+        upstream_limit::{LimitReport, RequestRate},
+        usage::{Part, Ruling, Rulings, UsageTotal},
+        workspace::{KeyDigest, UsageLimit, UsageUnit, Workspace, Workspaces},
+    },
+    id::{
+        AdapterName, DataCentreId, InstanceId, ModelName, ServiceName,
+        UpstreamId, UpstreamTag, WorkspaceId,
+    },
+    order::Stamp,
+};
+use valehold_gateway::{
+    peers::{
+        Heartbeat, Message, WordNumber,
+        fragments::Fragment,
+        message::{
+            BoundDemand, Digest, EvacuationWord, GroupLoads, HubNews,
+            LeaseRumour, LeaseWord, LoadNews, LoadReport, MemberList,
+            MemberNews, MemberPart, MemberWord, Newest, Rank, StoreSight,
+            Summary, TagRange, UpstreamLoad, VariantDemand,
+        },
+        state::PeerState,
+    },
+    view::{Life, Load},
+};
+
+/// Returns an address of the first variant of `SocketAddr`.
+fn v4(last: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, last], 7_380))
+}
+
+/// Returns an address of the second variant of `SocketAddr`.
+fn v6(last: u16) -> SocketAddr {
+    SocketAddr::from((Ipv6Addr::new(0xfd00, 0, 0, 0, 0, 0, 1, last), 8_149))
+}
+
+fn upstream_start(number: u64) -> UpstreamStart {
+    UpstreamStart {
+        id: UpstreamId::new(format!("engine-{number}")),
+        birth: Some(1_700_000_000_000 + number),
+    }
+}
+
+fn bound() -> RegionBound {
+    RegionBound::within(["north", "south"])
+}
+
+fn variant() -> Variant {
+    Variant::adapted("alpha", "a1")
+}
+
+fn holding() -> Holding {
+    let adapters =
+        BTreeSet::from([AdapterName::new("a1"), AdapterName::new("a2")]);
+    Holding {
+        sequence: 21,
+        models: BTreeMap::from([
+            (ModelName::new("alpha"), adapters),
+            (ModelName::new("beta"), BTreeSet::new()),
+        ]),
+    }
+}
+
+fn engine_holdings() -> Vec<EngineHolding> {
+    let UpstreamStart { id, birth } = upstream_start(1);
+    let stamp = Stamp { epoch: 22, sequence: 23 };
+    vec![EngineHolding { engine: id, birth, holding: holding(), stamp }]
+}
+
+fn upstream(number: u64) -> Upstream {
+    let UpstreamStart { id, birth } = upstream_start(number);
+    Upstream {
+        id,
+        service: ServiceName::new("engines"),
+        address: v6(9),
+        data_centre: DataCentreId::new("zone-1"),
+        slots: 64,
+        leaving: true,
+        cold_for_ms: 30_000,
+        birth,
+        holding: holding(),
+    }
+}
+
+fn listing_delta() -> ListingDelta {
+    ListingDelta {
+        before: 300,
+        version: 301,
+        changed: vec![Arc::new(upstream(1)), Arc::new(upstream(2))],
+        gone: vec![UpstreamId::new("engine-3")],
+        after_outage: true,
+    }
+}
+
+fn loads() -> Vec<UpstreamLoad> {
+    vec![
+        UpstreamLoad {
+            upstream: UpstreamTag::new(0x0102_0304),
+            load: Load { running: 3, waiting_tokens: 700 },
+        },
+        UpstreamLoad {
+            upstream: UpstreamTag::new(5),
+            load: Load { running: 70_000, waiting_tokens: 5_000_000_000 },
+        },
+    ]
+}
+
+fn load_news() -> LoadNews {
+    let whole = TagRange {
+        after: Some(UpstreamTag::new(4)),
+        until: Some(UpstreamTag::new(0x0f00_0000)),
+    };
+    LoadNews { whole: Some(whole), loads: loads() }
+}
+
+fn usage() -> Vec<UsageTotal> {
+    vec![UsageTotal {
+        workspace: WorkspaceId::new("acme").tag(),
+        used: 1_001,
+        asked: 1_102,
+        lately: 203,
+    }]
+}
+
+fn rulings() -> Option<Rulings> {
+    let ruling = Ruling {
+        workspace: WorkspaceId::new("acme").tag(),
+        let_through: Part::new(0.25),
+        used: Part::new(0.5),
+    };
+    Some(Rulings { seen: 40, present: 38, workspaces: vec![ruling] })
+}
+
+fn pace_observations() -> Vec<PaceObservation> {
+    vec![PaceObservation {
+        engine: UpstreamTag::new(6),
+        model: ModelName::new("alpha").tag(),
+        ratio: LogRatio::from_ln(-0.5),
+    }]
+}
+
+fn paces() -> PaceUpdate {
+    let engines = [
+        (UpstreamTag::new(6), LogRatio::from_ln(0.25)),
+        (UpstreamTag::new(7), LogRatio::from_ln(-0.125)),
+    ];
+    let models = [(ModelName::new("beta").tag(), LogRatio::from_ln(1.0))];
+    PaceUpdate {
+        is_full: true,
+        paces: Paces {
+            engines: BTreeMap::from(engines),
+            models: BTreeMap::from(models),
+        },
+    }
+}
+
+fn demand() -> Vec<BoundDemand> {
+    let variants = vec![VariantDemand {
+        variant: variant(),
+        requests: 1.5,
+        busy: 0.75,
+        running: 12,
+    }];
+    vec![BoundDemand { bound: bound(), variants }]
+}
+
+fn evacuations() -> Evacuations {
+    let data_centres =
+        [DataCentreId::new("zone-3"), DataCentreId::new("zone-4")];
+    Evacuations { version: 14, data_centres: BTreeSet::from(data_centres) }
+}
+
+fn evacuation_word() -> EvacuationWord {
+    EvacuationWord { orders: evacuations(), left_ms: 2_900 }
+}
+
+fn lease() -> Vec<LeaseRumour> {
+    vec![
+        LeaseRumour {
+            from: v4(3),
+            word: LeaseWord::GaveUp { epoch: 8, quiet_ms: 900 },
+            age_ms: 150,
+        },
+        LeaseRumour {
+            from: v6(4),
+            word: LeaseWord::Holds { epoch: 9, version: 77 },
+            age_ms: 160,
+        },
+    ]
+}
+
+fn members() -> MemberList {
+    let first = MemberWord {
+        rank: Rank { strength: 25, tie: 0x9E37_79B1 },
+        heartbeats: v4(1),
+        requests: v6(2),
+        data_centre: 1,
+        life: Life::Serving,
+        store: StoreSight::Answers,
+    };
+    let second = MemberWord {
+        rank: Rank { strength: 400, tie: 2 },
+        heartbeats: v6(5),
+        requests: v4(6),
+        data_centre: 0,
+        life: Life::Finishing,
+        store: StoreSight::Fails,
+    };
+    MemberList {
+        data_centres: vec![
+            DataCentreId::new("zone-1"),
+            DataCentreId::new("zone-2"),
+        ],
+        members: vec![first, second],
+    }
+}
+
+fn number() -> WordNumber {
+    WordNumber { start: 0x0011_2233_4455_6677, sequence: 1_234 }
+}
+
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
+        instance: InstanceId::new("edge-north-1"),
+        start: 0x0011_2233_4455_6677,
+        sequence: 1_234,
+        data_centre: DataCentreId::new("zone-1"),
+        life: Life::Leaving,
+        rank: Rank { strength: 12, tie: 0x9E37_79B1 },
+        requests: v6(1),
+        state: v4(2),
+        catalog: 3,
+        listing: 300,
+        evacuations: Some(evacuation_word()),
+        crashes: 0xfedc_ba98_7654_3210,
+        lease: Some(LeaseWord::GaveUp { epoch: 7, quiet_ms: 800 }),
+        store: StoreSight::Fails,
+        known: vec![v4(7), v6(8)],
+        loads: loads(),
+        demand: demand(),
+        usage: usage(),
+        paces: pace_observations(),
+        seen: 41,
+        holdings: engine_holdings(),
+    }
+}
+
+fn summary() -> Summary {
+    let members = MemberNews {
+        changed: members(),
+        gone: vec![v4(9), v6(10)],
+        digest: 0x0123_4567_89ab_cdef,
+        is_enough: true,
+    };
+    Summary {
+        number: number(),
+        members,
+        loads: loads(),
+        lease: lease(),
+        catalog: Newest { version: 3, state: v6(11) },
+        listing: Newest { version: 300, state: v4(12) },
+        evacuations: Some(evacuation_word()),
+        crashes: 0xfedc_ba98_7654_3210,
+        rulings: rulings(),
+    }
+}
+
+fn member_part() -> MemberPart {
+    MemberPart {
+        start: 0x0011_2233_4455_6677,
+        after: Some(v4(1)),
+        until: Some(v6(2)),
+        members: members(),
+        digest: 0x0123_4567_89ab_cdef,
+        is_enough: true,
+    }
+}
+
+fn load_report() -> LoadReport {
+    LoadReport {
+        instance: InstanceId::new("edge-north-1"),
+        start: 0x0011_2233_4455_6677,
+        sequence: 1_235,
+        loads: loads(),
+        usage: usage(),
+        paces: pace_observations(),
+    }
+}
+
+fn hub_news() -> HubNews {
+    HubNews {
+        number: number(),
+        loads: load_news(),
+        rulings: rulings(),
+        paces: paces(),
+    }
+}
+
+fn digest() -> Digest {
+    Digest {
+        number: number(),
+        data_centre: DataCentreId::new("zone-1"),
+        members: members(),
+        lease: lease(),
+        catalog: Newest { version: 3, state: v6(11) },
+        listing: Newest { version: 300, state: v4(12) },
+        evacuations: Some(evacuation_word()),
+        crashes: 0xfedc_ba98_7654_3210,
+        demand: demand(),
+    }
+}
+
+fn group_loads() -> GroupLoads {
+    GroupLoads {
+        instance: InstanceId::new("edge-north-1"),
+        number: number(),
+        data_centre: DataCentreId::new("zone-1"),
+        news: load_news(),
+        usage: usage(),
+    }
+}
+
+fn route(prefix: &str, repetition: Repetition) -> Route {
+    let service = ServiceName::new("engines");
+    Route {
+        host: "a.example".to_owned(),
+        prefix: prefix.to_owned(),
+        targets: vec![Target { service, weight: 90 }],
+        repetition,
+        streaming: true,
+        longest_ms: 60_000,
+        begin_within_ms: 2_000,
+        pause_within_ms: 1_500,
+        rank: 2,
+        attempts: 3,
+        public: true,
+        bound: bound(),
+    }
+}
+
+fn service() -> Service {
+    let model = ModelSpec {
+        name: ModelName::new("alpha"),
+        size_mb: 16_000,
+        load_ms: 9_000,
+        adapters: vec![AdapterName::new("a1"), AdapterName::new("a2")],
+        adapter_size_mb: 200,
+    };
+    let engine = EngineSpec {
+        slots: 64,
+        memory_mb: 80_000,
+        adapter_places: 8,
+        loads_per_second: 0.5,
+        models: vec![model],
+    };
+    let cold = ColdSpec { lasts_ms: 30_000, bears_per_second: 4.5 };
+    Service { engine: Some(engine), cold: Some(cold) }
+}
+
+fn workspaces() -> Workspaces {
+    let acme = Workspace {
+        name: WorkspaceId::new("acme"),
+        rank: 1,
+        limit: Some(UsageLimit {
+            unit: UsageUnit::Tokens { of_plain: 500 },
+            rate: 1_000.5,
+            burst: 250.25,
+        }),
+        bound: bound(),
+    };
+    let mut workspaces = Workspaces::default();
+    workspaces.add(acme, [KeyDigest::of(b"key-1"), KeyDigest::of(b"key-2")]);
+    workspaces
+}
+
+fn catalog() -> Catalog {
+    Catalog {
+        version: 3,
+        routes: vec![
+            route("/v1/", Repetition::Once),
+            route("/v2/", Repetition::Resumable),
+        ],
+        services: BTreeMap::from([(ServiceName::new("engines"), service())]),
+        limits: CallerLimits {
+            header_bytes: 16_384,
+            body_bytes: 1_048_576,
+            head_within_ms: 5_000,
+            rest_ms: 60_000,
+        },
+        workspaces: Some(workspaces()),
+    }
+}
+
+fn content(text: &str) -> RequestContent {
+    text.parse().unwrap()
+}
+
+fn crash_words() -> CrashWords {
+    let crash = CrashWord {
+        upstream: UpstreamTag::new(0x0102_0304),
+        left_ms: 590_000,
+        under_way: vec![
+            content("0123456789abcdef"),
+            content("00000000000000ff"),
+        ],
+    };
+    let answered = AnsweredWord {
+        content: content("00000000000001ff"),
+        left_ms: 580_000,
+    };
+    let refused =
+        RefusedWord { content: content("0123456789abcdef"), left_ms: 570_000 };
+    CrashWords {
+        crashes: vec![crash],
+        answered: vec![answered],
+        refused: vec![refused],
+    }
+}
+
+fn limit_word() -> LimitReport {
+    LimitReport {
+        start: upstream_start(2),
+        number: 31,
+        limit: RequestRate::from_per_second(2.5),
+    }
+}
+
+fn fragment() -> Fragment {
+    Fragment {
+        message: 0x8899_aabb_ccdd_eeff,
+        index: 1,
+        count: 3,
+        bytes: vec![0xba, 1, 2],
+    }
+}
+
+/// Returns an example of each kind of message, in the order of the variants.
+fn messages() -> Vec<Message> {
+    vec![
+        Message::Heartbeat(Box::new(heartbeat())),
+        Message::Wish(Asked { bound: bound(), variant: variant() }),
+        Message::Holdings(engine_holdings()),
+        Message::Listed(listing_delta()),
+        Message::Summary(Box::new(summary())),
+        Message::AskMembers,
+        Message::Members(member_part()),
+        Message::Loads(load_report()),
+        Message::HubNews(hub_news()),
+        Message::Digest(Box::new(digest())),
+        Message::GroupLoads(group_loads()),
+        Message::Catalog(Box::new(catalog())),
+        Message::Evacuations(evacuation_word()),
+        Message::Crashes(crash_words()),
+        Message::Leaving(vec![upstream_start(1), upstream_start(2)]),
+        Message::UpstreamLimits(vec![limit_word()]),
+        Message::Fragment(fragment()),
+        Message::Relay(vec![0xba, 5]),
+        Message::AskRight {
+            ask: PermitRequest {
+                upstream: UpstreamId::new("engine-2"),
+                number: 32,
+            },
+            is_cold: true,
+            limit: Some(limit_word()),
+        },
+        Message::Right {
+            number: 32,
+            answer: PermitReply::Denied { retry_after_ms: 250 },
+            limit: Some(limit_word()),
+        },
+    ]
+}
+
+fn state() -> PeerState {
+    let upstreams = [1, 2].map(|number| {
+        let upstream = upstream(number);
+        (upstream.id.clone(), Arc::new(upstream))
+    });
+    let upstreams = upstreams.into_iter().collect();
+    PeerState {
+        catalog: Some(catalog()),
+        listing: Some(Listing { version: 301, upstreams }),
+        changes: Some(listing_delta()),
+        evacuations: Some(evacuations()),
+        limits: vec![limit_word()],
+    }
+}
+
+/// Returns the recorded bytes of the example of a message. A new variant needs
+/// an example and its bytes.
+fn recorded(message: &Message) -> &'static str {
+    match message {
+        Message::Heartbeat(_) => HEARTBEAT,
+        Message::Wish(_) => WISH,
+        Message::Holdings(_) => HOLDINGS,
+        Message::Listed(_) => LISTED,
+        Message::Summary(_) => SUMMARY,
+        Message::AskMembers => ASK_MEMBERS,
+        Message::Members(_) => MEMBERS,
+        Message::Loads(_) => LOADS,
+        Message::HubNews(_) => HUB_NEWS,
+        Message::Digest(_) => DIGEST,
+        Message::GroupLoads(_) => GROUP_LOADS,
+        Message::Catalog(_) => CATALOG,
+        Message::Evacuations(_) => EVACUATIONS,
+        Message::Crashes(_) => CRASHES,
+        Message::Leaving(_) => LEAVING,
+        Message::UpstreamLimits(_) => UPSTREAM_LIMITS,
+        Message::Fragment(_) => FRAGMENT,
+        Message::Relay(_) => RELAY,
+        Message::AskRight { .. } => ASK_RIGHT,
+        Message::Right { .. } => RIGHT,
+    }
+}
+
+fn hexadecimal(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        let _ = write!(text, "{byte:02x}");
+        text
+    })
+}
+
+fn bytes_of(hexadecimal: &str) -> Vec<u8> {
+    let pairs = (0..hexadecimal.len()).step_by(2);
+    let byte = |at| u8::from_str_radix(&hexadecimal[at..at + 2], 16).unwrap();
+    pairs.map(byte).collect()
+}
+
+#[gtest]
+fn messages_are_encoded_to_the_recorded_bytes() {
+    for message in messages() {
+        let bytes = message.encode().unwrap();
+        expect_that!(
+            hexadecimal(&bytes),
+            eq(recorded(&message)),
+            "{}",
+            message.label()
+        );
+    }
+}
+
+#[gtest]
+fn the_recorded_bytes_are_decoded_to_the_messages() {
+    for message in messages() {
+        let bytes = bytes_of(recorded(&message));
+        expect_that!(
+            Message::decode(&bytes),
+            ok(eq(&message)),
+            "{}",
+            message.label()
+        );
+    }
+}
+
+/// Postcard writes a variant's index, which follows the number of the format.
+#[gtest]
+fn each_variant_of_messages_has_an_example() {
+    let indices: Vec<u8> = messages()
+        .iter()
+        .map(|message| bytes_of(recorded(message))[1])
+        .collect();
+    expect_that!(indices, eq(&Vec::from_iter(0..20)));
+}
+
+#[gtest]
+fn a_state_is_encoded_to_the_recorded_bytes_and_decoded_from_them() {
+    let bytes = state().encode().unwrap();
+    expect_that!(hexadecimal(&bytes), eq(STATE));
+    let decoded = PeerState::decode(&bytes_of(STATE)).unwrap();
+    expect_that!(decoded, eq(&state()));
+}
+
+const HEARTBEAT: &str = "\
+    ba000c656467652d6e6f7274682d31f7ccd5a2b4c6c808d209067a6f6e652d31020cb1\
+    f3ddf10901fd000000000000000000000000010001d53f000a000002d43903ac02010e\
+    02067a6f6e652d33067a6f6e652d34d41690e4d0b287d3aeeefe01010107a006020200\
+    0a000007d43901fd000000000000000000000000010008d53f028486880803bc0505f0\
+    a20480e497d012010102056e6f72746805736f7574680105616c706861010261310000\
+    c03f0000403f0c01e1b1a1ecd58ce6d644e907ce08cb010106dad696b10ff029010865\
+    6e67696e652d310181d095ffbc31150205616c70686102026131026132046265746100\
+    1617";
+
+const WISH: &str = "ba010102056e6f72746805736f75746805616c70686101026131";
+
+const HOLDINGS: &str = "\
+    ba020108656e67696e652d310181d095ffbc31150205616c7068610202613102613204\
+    62657461001617";
+
+const LISTED: &str = "\
+    ba03ac02ad020208656e67696e652d3107656e67696e657301fd000000000000000000\
+    000000010009d53f067a6f6e652d314001b0ea010181d095ffbc31150205616c706861\
+    0202613102613204626574610008656e67696e652d3207656e67696e657301fd000000\
+    000000000000000000010009d53f067a6f6e652d314001b0ea010182d095ffbc311502\
+    05616c706861020261310261320462657461000108656e67696e652d3301";
+
+const SUMMARY: &str = "\
+    ba04f7ccd5a2b4c6c808d20902067a6f6e652d31067a6f6e652d320219b1f3ddf10900\
+    0a000001d43901fd000000000000000000000000010002d53f01010190030201fd0000\
+    00000000000000000000010005d53f000a000006d43900030202000a000009d43901fd\
+    00000000000000000000000001000ad53fef9bafcdf8acd1910101028486880803bc05\
+    05f0a20480e497d01202000a000003d43901088407960101fd00000000000000000000\
+    0000010004d53f00094da0010301fd00000000000000000000000001000bd53fac0200\
+    0a00000cd439010e02067a6f6e652d33067a6f6e652d34d41690e4d0b287d3aeeefe01\
+    01282601e1b1a1ecd58ce6d6444080";
+
+const ASK_MEMBERS: &str = "ba05";
+
+const MEMBERS: &str = "\
+    ba06f7ccd5a2b4c6c80801000a000001d4390101fd0000000000000000000000000100\
+    02d53f02067a6f6e652d31067a6f6e652d320219b1f3ddf109000a000001d43901fd00\
+    0000000000000000000000010002d53f01010190030201fd0000000000000000000000\
+    00010005d53f000a000006d439000302ef9bafcdf8acd1910101";
+
+const LOADS: &str = "\
+    ba070c656467652d6e6f7274682d31f7ccd5a2b4c6c808d309028486880803bc0505f0\
+    a20480e497d01201e1b1a1ecd58ce6d644e907ce08cb010106dad696b10ff0";
+
+const HUB_NEWS: &str = "\
+    ba08f7ccd5a2b4c6c808d2090101040180808078028486880803bc0505f0a20480e497\
+    d01201282601e1b1a1ecd58ce6d64440800102060807fc01c1ecffbe0920";
+
+const DIGEST: &str = "\
+    ba09f7ccd5a2b4c6c808d209067a6f6e652d3102067a6f6e652d31067a6f6e652d3202\
+    19b1f3ddf109000a000001d43901fd000000000000000000000000010002d53f010101\
+    90030201fd000000000000000000000000010005d53f000a000006d43900030202000a\
+    000003d43901088407960101fd000000000000000000000000010004d53f00094da001\
+    0301fd00000000000000000000000001000bd53fac02000a00000cd439010e02067a6f\
+    6e652d33067a6f6e652d34d41690e4d0b287d3aeeefe01010102056e6f72746805736f\
+    7574680105616c706861010261310000c03f0000403f0c";
+
+const GROUP_LOADS: &str = "\
+    ba0a0c656467652d6e6f7274682d31f7ccd5a2b4c6c808d209067a6f6e652d31010104\
+    0180808078028486880803bc0505f0a20480e497d01201e1b1a1ecd58ce6d644e907ce\
+    08cb01";
+
+const CATALOG: &str = "\
+    ba0b030209612e6578616d706c65042f76312f0107656e67696e65735a0101e0d403d0\
+    0fdc0b0203010102056e6f72746805736f75746809612e6578616d706c65042f76322f\
+    0107656e67696e65735a0201e0d403d00fdc0b0203010102056e6f72746805736f7574\
+    680107656e67696e6573014080f10408000000000000e03f0105616c706861807da846\
+    02026131026132c80101b0ea0100000000000012408080018080408827e0d403010104\
+    61636d650461636d65010101f4030000000000448f400000000000486f400102056e6f\
+    72746805736f757468027c36b0a9dedde119c75165957c6c9c180461636d65be297454\
+    6978e3739e6d6da85c4be9f30461636d65";
+
+const EVACUATIONS: &str = "ba0c0e02067a6f6e652d33067a6f6e652d34d416";
+
+const CRASHES: &str = "\
+    ba0d0184868808b0812402ef9bafcdf8acd19101ff0101ff03a0b32301ef9bafcdf8ac\
+    d1910190e522";
+
+const LEAVING: &str = "\
+    ba0e0208656e67696e652d310181d095ffbc3108656e67696e652d320182d095ffbc31";
+
+const UPSTREAM_LIMITS: &str = "ba0f0108656e67696e652d320182d095ffbc311f01c413";
+
+const FRAGMENT: &str = "ba10ffddf7e6bcd7eacc8801010303ba0102";
+
+const RELAY: &str = "ba1102ba05";
+
+const ASK_RIGHT: &str = "\
+    ba1208656e67696e652d3220010108656e67696e652d320182d095ffbc311f01c413";
+
+const RIGHT: &str = "ba132001fa010108656e67696e652d320182d095ffbc311f01c413";
+
+const STATE: &str = "\
+    ba01030209612e6578616d706c65042f76312f0107656e67696e65735a0101e0d403d0\
+    0fdc0b0203010102056e6f72746805736f75746809612e6578616d706c65042f76322f\
+    0107656e67696e65735a0201e0d403d00fdc0b0203010102056e6f72746805736f7574\
+    680107656e67696e6573014080f10408000000000000e03f0105616c706861807da846\
+    02026131026132c80101b0ea0100000000000012408080018080408827e0d403010104\
+    61636d650461636d65010101f4030000000000448f400000000000486f400102056e6f\
+    72746805736f757468027c36b0a9dedde119c75165957c6c9c180461636d65be297454\
+    6978e3739e6d6da85c4be9f30461636d6501ad020208656e67696e652d3108656e6769\
+    6e652d3107656e67696e657301fd000000000000000000000000010009d53f067a6f6e\
+    652d314001b0ea010181d095ffbc31150205616c706861020261310261320462657461\
+    0008656e67696e652d3208656e67696e652d3207656e67696e657301fd000000000000\
+    000000000000010009d53f067a6f6e652d314001b0ea010182d095ffbc31150205616c\
+    7068610202613102613204626574610001ac02ad020208656e67696e652d3107656e67\
+    696e657301fd000000000000000000000000010009d53f067a6f6e652d314001b0ea01\
+    0181d095ffbc31150205616c7068610202613102613204626574610008656e67696e65\
+    2d3207656e67696e657301fd000000000000000000000000010009d53f067a6f6e652d\
+    314001b0ea010182d095ffbc31150205616c7068610202613102613204626574610001\
+    08656e67696e652d3301010e02067a6f6e652d33067a6f6e652d340108656e67696e65\
+    2d320182d095ffbc311f01c413";
