--- a/crates/valehold-gateway/examples/fleet_costs.rs
+++ b/crates/valehold-gateway/examples/fleet_costs.rs
@@ -22,9 +22,9 @@
 };
 use valehold_gateway::{
     peers::{
-        Heartbeat, Message, Roster, WordNumber,
+        Heartbeat, Message, MessageNumber, Roster,
         message::{
-            GroupLoads, HubNews, Rank, StoreSight, Summary, UpstreamLoad,
+            GroupLoads, HubUpdate, Rank, StoreStatus, Summary, UpstreamLoad,
         },
         roster::{
             LocalMember, LocalReport,
@@ -195,7 +195,7 @@
     ) -> f64 {
         let mut changed = members.clone();
         for member in changed.values_mut().step_by(CHANGES_ONE_IN) {
-            member.store = StoreSight::Fails;
+            member.store = StoreStatus::Unreachable;
         }
         let most = max_changes(SMALL_LINK_MBPS, BEAT_MS, self.group);
         let members = told.next_update(&changed, most);
@@ -222,10 +222,10 @@
     fn loads_bytes(&self) -> f64 {
         let mut told = AdvertisedSums::default();
         let loads = told.next_update(&self.loads(), MOST_SUMS);
-        let number = WordNumber { start: 1, sequence: 1_000 };
+        let number = MessageNumber { start: 1, sequence: 1_000 };
         let paces = PaceUpdate::default();
-        let news = HubNews { number, loads, rulings: None, paces };
-        bytes_of(&Message::HubNews(news)) as f64
+        let news = HubUpdate { number, loads, throttles: None, paces };
+        bytes_of(&Message::HubUpdate(news)) as f64
     }
 
     fn group_loads_bytes(&self) -> f64 {
@@ -233,9 +233,9 @@
         let news = told.next_update(&self.loads(), MOST_SUMS);
         let loads = GroupLoads {
             instance: InstanceId::new("edge-north-1"),
-            number: WordNumber { start: 1, sequence: 1_000 },
+            number: MessageNumber { start: 1, sequence: 1_000 },
             data_centre: data_centre(0),
-            news,
+            loads: news,
             usage: Vec::new(),
         };
         bytes_of(&Message::GroupLoads(loads)) as f64
@@ -263,7 +263,7 @@
             gone: (0..CRASHED).map(|number| start(number).id).collect(),
             after_outage: false,
         };
-        bytes_of(&Message::Listed(delta)) as f64
+        bytes_of(&Message::ListingChanged(delta)) as f64
     }
 
     fn news_us(&self, members: &BTreeMap<SocketAddr, Member>) -> f64 {
@@ -382,7 +382,7 @@
     LocalReport {
         requests: requests(number),
         life: Life::Serving,
-        store: StoreSight::Answers,
+        store: StoreStatus::Reachable,
     }
 }
 
@@ -399,15 +399,15 @@
         catalog: 3,
         listing: 100_000,
         evacuations: None,
-        crashes: 0,
+        crash_digest: 0,
         lease: None,
-        store: StoreSight::Answers,
-        known: (0..16).map(address).collect(),
+        store: StoreStatus::Reachable,
+        known_addresses: (0..16).map(address).collect(),
         loads: Vec::new(),
         demand: Vec::new(),
         usage: Vec::new(),
         paces: Vec::new(),
-        seen: 0,
+        gateways_seen: 0,
         holdings: Vec::new(),
     }
 }
--- a/crates/valehold-gateway/src/control/cold.rs
+++ b/crates/valehold-gateway/src/control/cold.rs
@@ -110,7 +110,8 @@
         let limit = self.limit_of(&ask.upstream);
         match self.grantor.grantor_of(&ask.upstream) {
             Some(grantor) if grantor != own => {
-                let ask = Message::AskRight { ask, is_cold, limit };
+                let ask =
+                    Message::PermitRequest { request: ask, is_cold, limit };
                 self.send([grantor], &ask);
             }
             _ => {
@@ -134,7 +135,10 @@
         let limit = self.limit_of(&ask.upstream);
         let limit = limit.filter(|limit| known != Some(limit));
         let number = ask.number;
-        self.send([from], &Message::Right { number, answer, limit });
+        self.send(
+            [from],
+            &Message::PermitReply { number, reply: answer, limit },
+        );
     }
 
     /// Returns whether a request may be sent to an upstream: one that is
--- a/crates/valehold-gateway/src/control/configuring.rs
+++ b/crates/valehold-gateway/src/control/configuring.rs
@@ -7,7 +7,7 @@
 use super::Control;
 use crate::{
     events::{CatalogSource, EmptyBoundPair, Event},
-    peers::{Message, message::StoreSight, roster::ObserverRole},
+    peers::{Message, message::StoreStatus, roster::ObserverRole},
 };
 
 /// How many pairs without a common region are named in the log: enough to
@@ -50,7 +50,7 @@
         self.shared.metrics.catalog(catalog.version);
         self.catalog = Some(Arc::new(catalog));
         self.live();
-        if !self.roster.has_hubs() || self.store == StoreSight::Answers {
+        if !self.roster.has_hubs() || self.store == StoreStatus::Reachable {
             self.send_heartbeats(now);
         }
         self.publish();
--- a/crates/valehold-gateway/src/control/demand.rs
+++ b/crates/valehold-gateway/src/control/demand.rs
@@ -83,8 +83,8 @@
             let Asked { bound, variant } = asked;
             let one = VariantDemand {
                 variant,
-                requests: rate.requests as f32,
-                busy: rate.busy_ms as f32,
+                requests_per_second: rate.requests as f32,
+                busy_engines: rate.busy_ms as f32,
                 running,
             };
             match list.last_mut().filter(|last| last.bound == bound) {
--- a/crates/valehold-gateway/src/control/evacuating.rs
+++ b/crates/valehold-gateway/src/control/evacuating.rs
@@ -15,7 +15,7 @@
 use super::Control;
 use crate::{
     events::{CatalogSource, Event},
-    peers::{Message, message::EvacuationWord},
+    peers::{Message, message::EvacuationReport},
 };
 
 /// The part of the time that operators give in which an emptied data centre
@@ -34,10 +34,10 @@
     pub(super) fn evacuation_word(
         &self,
         now: Millis,
-    ) -> Option<EvacuationWord> {
+    ) -> Option<EvacuationReport> {
         let orders = self.evacuations.orders()?.clone();
         let left_ms = self.evacuations.max_left_ms(now);
-        Some(EvacuationWord { orders, left_ms })
+        Some(EvacuationReport { orders, left_ms })
     }
 
     /// Takes in what the store says of orders, and passes on what is new.
@@ -107,11 +107,11 @@
     /// Takes in what a peer says of orders.
     pub(super) fn hear_evacuations(
         &mut self,
-        word: Option<EvacuationWord>,
+        word: Option<EvacuationReport>,
         source: CatalogSource,
         now: Millis,
     ) {
-        let Some(EvacuationWord { orders, left_ms }) = word else { return };
+        let Some(EvacuationReport { orders, left_ms }) = word else { return };
         let left_ms = left_ms.min(self.still_used_ms());
         self.evacuate(orders, left_ms, source, now);
     }
--- a/crates/valehold-gateway/src/control/lease.rs
+++ b/crates/valehold-gateway/src/control/lease.rs
@@ -38,7 +38,7 @@
 use super::input::{Input, SentLease};
 use crate::{
     events::Event,
-    peers::message::{LeaseRumour, LeaseWord},
+    peers::message::{LeaseClaim, LeaseReport},
 };
 
 /// The lease's terms: contenders wait for the whole term, a holder stops
@@ -219,26 +219,26 @@
     }
 
     /// Returns what peers are told.
-    pub(super) fn word(&self, now: Millis) -> Option<LeaseWord> {
+    pub(super) fn word(&self, now: Millis) -> Option<LeaseClaim> {
         if let Some(epoch) = self.held_epoch(now) {
             let version = self.version;
-            return Some(LeaseWord::Holds { epoch, version });
+            return Some(LeaseClaim::Holds { epoch, version });
         }
-        self.gave_up.map(|given_up| LeaseWord::GaveUp {
+        self.gave_up.map(|given_up| LeaseClaim::Released {
             epoch: given_up.epoch,
             quiet_ms: given_up.quiet_until.since(now),
         })
     }
 
     /// Takes in what a peer says.
-    pub(super) fn heard(&mut self, rumour: LeaseRumour, now: Millis) {
-        match rumour.word {
-            LeaseWord::Holds { version, .. } => {
+    pub(super) fn heard(&mut self, rumour: LeaseReport, now: Millis) {
+        match rumour.claim {
+            LeaseClaim::Holds { version, .. } => {
                 // Later than it was said, so that its term counts whole.
                 let known = self.heard.filter(|(v, _)| *v >= version);
                 self.heard = known.or(Some((version, now)));
             }
-            LeaseWord::GaveUp { epoch, quiet_ms } => {
+            LeaseClaim::Released { epoch, quiet_ms } => {
                 let quiet_until = now + quiet_ms;
                 self.other_gave_up = Some(GivenUp { epoch, quiet_until });
                 self.keeper.given_up(epoch);
--- a/crates/valehold-gateway/src/control/loads.rs
+++ b/crates/valehold-gateway/src/control/loads.rs
@@ -12,9 +12,10 @@
 use super::Control;
 use crate::{
     peers::{
-        WordNumber,
+        MessageNumber,
         message::{
-            GroupLoads, HubNews, LoadNews, LoadReport, Message, UpstreamLoad,
+            GroupLoads, HubUpdate, LoadReport, LoadUpdate, Message,
+            UpstreamLoad,
         },
         roster::sums::{load_list, loads_by_upstream},
     },
@@ -58,7 +59,8 @@
         let rulings = self.rule_limits(now);
         let own = self.loads_to_tell();
         self.sequence += 1;
-        let number = WordNumber { start: self.start, sequence: self.sequence };
+        let number =
+            MessageNumber { start: self.start, sequence: self.sequence };
         if !self.roster.remote_hubs().is_empty() {
             let sums = self.roster.sum_group_loads(&own, now);
             let usage = self.group_usage(now);
@@ -68,7 +70,7 @@
                 number,
                 usage,
                 data_centre: self.shared.settings.data_centre.clone(),
-                news: told.next_update(&sums, MOST_SUMS_AT_ONCE),
+                loads: told.next_update(&sums, MOST_SUMS_AT_ONCE),
             });
             let elsewhere = self.roster.remote_hubs().iter().copied();
             self.send(elsewhere, &message);
@@ -76,12 +78,12 @@
         let sums = self.roster.sum_loads(&own, now);
         let loads = match self.tells_loads() {
             true => self.told_sums.next_update(&sums, MOST_SUMS_AT_ONCE),
-            false => LoadNews::default(),
+            false => LoadUpdate::default(),
         };
         let group = self.roster.summary_targets();
         let paces = self.pace_news(now);
-        let news = HubNews { number, loads, rulings, paces };
-        self.send(group, &Message::HubNews(news));
+        let news = HubUpdate { number, loads, throttles: rulings, paces };
+        self.send(group, &Message::HubUpdate(news));
     }
 
     /// Tells hubs what this gateway has under way and let through, if that
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -81,8 +81,8 @@
     events::{Event, WordSource},
     peers::{
         Roster,
-        fragments::Fragments,
-        message::{Duty, MAX_DATAGRAM, Message, Rank, StoreSight},
+        fragments::Reassembler,
+        message::{Duty, MAX_DATAGRAM, Message, Rank, StoreStatus},
         outbox::Outbox,
         roster::{
             LocalMember, LocalReport,
@@ -140,7 +140,7 @@
     /// Datagrams that wait for room in the socket.
     outbox: RefCell<Outbox>,
     /// Messages of which fragments have not arrived.
-    fragments: Fragments,
+    fragments: Reassembler,
     placing: Placing,
     inputs: mpsc::UnboundedSender<Input>,
     roster: Roster,
@@ -158,7 +158,7 @@
     told_evacuations: BTreeSet<DataCentreId>,
     upstreams: KnownUpstreams,
     watch_orders: Rc<WatchOrders>,
-    store: StoreSight,
+    store: StoreStatus,
     store_presence: StorePresence,
     /// How often the store came back from a copy, once it is known.
     store_era: Option<u64>,
@@ -260,7 +260,7 @@
             ),
             socket,
             outbox: RefCell::new(Outbox::new(settings.peers.link_mbps)),
-            fragments: Fragments::default(),
+            fragments: Reassembler::default(),
             placing: Placing::default(),
             inputs,
             lease,
@@ -276,7 +276,7 @@
             told_evacuations: BTreeSet::new(),
             upstreams: KnownUpstreams::default(),
             watch_orders,
-            store: StoreSight::Unknown,
+            store: StoreStatus::Unknown,
             store_presence: StorePresence::default(),
             store_era: None,
             behind: Behind::new(is_seed, now),
@@ -433,7 +433,7 @@
                 self.store_failed(&error, lasted, now);
             }
             Input::CatalogHeard { version, catalog, evacuations } => {
-                let was_lost = self.store == StoreSight::Fails;
+                let was_lost = self.store == StoreStatus::Unreachable;
                 self.store_heard(now);
                 self.note_era(version);
                 self.evacuate_by_store(evacuations, was_lost, now);
@@ -496,7 +496,7 @@
             self.place_soon();
             self.place_if_wanted();
         } else if let Some(holder) = self.roster.lease_holder(now) {
-            self.send([holder], &Message::Wish(asked));
+            self.send([holder], &Message::LoadRequest(asked));
         }
     }
 
--- a/crates/valehold-gateway/src/control/needs.rs
+++ b/crates/valehold-gateway/src/control/needs.rs
@@ -39,7 +39,7 @@
     let mut needs = ModelNeeds::new();
     for (variant, one) in inside.flat_map(|(_, variants)| variants) {
         let need = needs.entry(variant.model.clone()).or_default();
-        need.busy += f64::from(one.busy);
+        need.busy += f64::from(one.busy_engines);
         if variant.adapter.is_some() {
             need.adapters += expected_in_use(one);
         }
@@ -77,7 +77,7 @@
 
 /// Returns the chance that an adapter is in use at a moment.
 fn expected_in_use(demand: &VariantDemand) -> f64 {
-    let requests = f64::from(demand.requests);
+    let requests = f64::from(demand.requests_per_second);
     match demand.running {
         0 => 1.0 - (-requests * ADAPTER_USE_S).exp(),
         _ => 1.0,
--- a/crates/valehold-gateway/src/control/placer/adapters.rs
+++ b/crates/valehold-gateway/src/control/placer/adapters.rs
@@ -84,7 +84,7 @@
         let mut asked: BTreeMap<&ModelName, f64> = BTreeMap::new();
         for (variant, one) in demand.values().flatten() {
             let requests = asked.entry(&variant.model).or_default();
-            *requests += f64::from(one.requests);
+            *requests += f64::from(one.requests_per_second);
         }
         let requests =
             |model: &ModelName| asked.get(model).copied().unwrap_or(0.0);
@@ -255,7 +255,7 @@
 fn use_of(demand: &DemandSum, variant: &Variant) -> AdapterUse {
     let mut used = AdapterUse::default();
     for one in demand.values().filter_map(|variants| variants.get(variant)) {
-        used.requests += f64::from(one.requests);
+        used.requests += f64::from(one.requests_per_second);
         used.runs |= one.running > 0;
     }
     used
--- a/crates/valehold-gateway/src/control/placer/tests.rs
+++ b/crates/valehold-gateway/src/control/placer/tests.rs
@@ -314,8 +314,8 @@
         let variant = Variant::adapted(*model, "a1");
         let demand = VariantDemand {
             variant: variant.clone(),
-            requests: *requests,
-            busy: 0.1,
+            requests_per_second: *requests,
+            busy_engines: 0.1,
             running: 0,
         };
         (variant, demand)
--- a/crates/valehold-gateway/src/control/store_sight.rs
+++ b/crates/valehold-gateway/src/control/store_sight.rs
@@ -9,7 +9,7 @@
 use super::Control;
 use crate::{
     events::Event,
-    peers::{message::StoreSight, roster::ObserverRole},
+    peers::{message::StoreStatus, roster::ObserverRole},
 };
 
 /// For how long a gateway that has just started leaves watching the store to
@@ -32,7 +32,7 @@
         };
         self.watch_orders.set_observing(observing);
         if observing == ObserverRole::Inactive {
-            self.store = StoreSight::Unknown;
+            self.store = StoreStatus::Unknown;
         }
         let looked_after = self.shared.settings.mechanisms.store_looked_after
             && self.roster.others_probe_store();
@@ -57,10 +57,10 @@
         if !self.store_presence.failed(lasted_ms, now) {
             return;
         }
-        if self.store != StoreSight::Fails {
+        if self.store != StoreStatus::Unreachable {
             Event::StoreLost { error: error.to_string() }.log();
         }
-        self.store = StoreSight::Fails;
+        self.store = StoreStatus::Unreachable;
     }
 
     /// Notes the store's era, by the version of an answer: what was recorded in
@@ -81,10 +81,10 @@
 
     /// Takes in that the store answered a call.
     pub(super) fn store_heard(&mut self, now: Millis) {
-        if self.store == StoreSight::Fails {
+        if self.store == StoreStatus::Unreachable {
             Event::StoreBack.log();
         }
-        self.store = StoreSight::Answers;
+        self.store = StoreStatus::Reachable;
         self.store_presence.heard(now);
     }
 }
--- a/crates/valehold-gateway/src/control/telling.rs
+++ b/crates/valehold-gateway/src/control/telling.rs
@@ -12,9 +12,9 @@
         Heartbeat, Message,
         fragments::Fragment,
         message::{
-            BoundDemand, GroupLoads, LeaseRumour, LeaseWord, LoadReport,
+            BoundDemand, GroupLoads, LeaseClaim, LeaseReport, LoadReport,
         },
-        outbox::{Datagram, Sent, Urgency},
+        outbox::{Datagram, SendOutcome, Urgency},
         roster::{members::max_changes, sums::loads_by_upstream},
     },
     view::Life,
@@ -47,7 +47,7 @@
         self.sequence += 1;
         let settings = &self.shared.settings;
         let lease = self.lease.borrow().word(now);
-        let holds = matches!(lease, Some(LeaseWord::Holds { .. }));
+        let holds = matches!(lease, Some(LeaseClaim::Holds { .. }));
         let loads = self.own_loads();
         self.told_loads = loads_by_upstream(&loads);
         Heartbeat {
@@ -62,15 +62,15 @@
             catalog: self.catalog.as_ref().map_or(0, |c| c.version),
             listing: self.upstreams.version(),
             evacuations: self.evacuation_word(now),
-            crashes: self.crash_digest(now),
+            crash_digest: self.crash_digest(now),
             lease,
             store: self.store,
-            known: self.roster.advertised_addresses(now),
+            known_addresses: self.roster.advertised_addresses(now),
             loads,
             demand: self.demand.list(&self.shared.running()),
             usage: self.usage_news(now),
             paces: self.paces_to_tell(),
-            seen: self.limits.seen(),
+            gateways_seen: self.limits.seen(),
             // Where hubs alone hear it, all is told by itself.
             holdings: match holds && !self.roster.has_many_groups() {
                 true => self.placer.news(now),
@@ -246,19 +246,19 @@
 
     /// Gives the socket a datagram. Those may be lost, so one that the socket
     /// refuses may be too.
-    fn send_datagram(&self, datagram: &Datagram) -> Sent {
+    fn send_datagram(&self, datagram: &Datagram) -> SendOutcome {
         let Datagram { to, bytes, label } = datagram;
         match self.socket.try_send_to(bytes, *to) {
             Ok(_) => {
                 self.shared.metrics.told_peers(label, bytes.len() as u64);
-                Sent::Taken
+                SendOutcome::Accepted
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                Sent::NoRoom
+                SendOutcome::WouldBlock
             }
             Err(error) => {
                 log::debug!("a datagram ({label}) to {to}: {error}");
-                Sent::Failed
+                SendOutcome::Failed
             }
         }
     }
@@ -303,29 +303,29 @@
             Message::Heartbeat(heartbeat) => {
                 self.hear_heartbeat(from, *heartbeat, now);
             }
-            Message::Wish(asked) => {
+            Message::LoadRequest(asked) => {
                 self.placer.wished(asked, now);
                 self.place_soon();
             }
             Message::Holdings(holdings) => {
                 self.upstreams.tell(holdings, now);
             }
-            Message::Listed(delta) => {
+            Message::ListingChanged(delta) => {
                 self.take_delta(&delta, now);
             }
             Message::Summary(mut summary) => {
-                self.compare_crashes(from, summary.crashes, now);
+                self.compare_crashes(from, summary.crash_digest, now);
                 let evacuations = summary.evacuations.take();
                 self.hear_evacuations(evacuations, CatalogSource::Peer, now);
-                self.keep_to(summary.rulings.as_ref(), now);
+                self.keep_to(summary.throttles.as_ref(), now);
                 let is_missing = self.roster.on_summary(from, *summary, now);
                 if is_missing {
-                    self.send([from], &Message::AskMembers);
+                    self.send([from], &Message::MembersRequest);
                 }
                 self.publish_loads(now);
                 self.hear_rumours(now);
             }
-            Message::AskMembers => {
+            Message::MembersRequest => {
                 self.told_members.request_full_list(from);
                 self.answer_asked();
             }
@@ -333,7 +333,7 @@
                 self.roster.on_member_part(from, &part, now);
             }
             Message::Digest(mut digest) => {
-                self.compare_crashes(from, digest.crashes, now);
+                self.compare_crashes(from, digest.crash_digest, now);
                 let evacuations = digest.evacuations.take();
                 self.hear_evacuations(evacuations, CatalogSource::Peer, now);
                 self.roster.on_digest(from, *digest, now);
@@ -345,8 +345,8 @@
                 self.learn_paces(paces, now);
                 self.roster.on_load_report(report, now);
             }
-            Message::HubNews(news) => {
-                self.keep_to(news.rulings.as_ref(), now);
+            Message::HubUpdate(news) => {
+                self.keep_to(news.throttles.as_ref(), now);
                 self.hear_paces(&news.paces, now);
                 self.roster.on_load_update(news.loads, now);
                 self.publish_loads(now);
@@ -369,11 +369,11 @@
             Message::UpstreamLimits(words) => {
                 self.hear_limits(&words, now);
             }
-            Message::AskRight { ask, is_cold, limit } => {
+            Message::PermitRequest { request: ask, is_cold, limit } => {
                 self.hear_limits(limit.as_slice(), now);
                 self.answer_right(from, &ask, is_cold, limit.as_ref(), now);
             }
-            Message::Right { number, answer, limit } => {
+            Message::PermitReply { number, reply: answer, limit } => {
                 self.hear_limits(limit.as_slice(), now);
                 self.shared.cold().permits.on_reply(number, answer, now);
             }
@@ -392,7 +392,7 @@
         fragment: Fragment,
         now: Millis,
     ) {
-        let Some(bytes) = self.fragments.take(fragment) else { return };
+        let Some(bytes) = self.fragments.push(fragment) else { return };
         match Message::decode(&bytes) {
             Ok(Message::Fragment(_) | Message::Relay(_)) => {
                 log::debug!("a message of {from} is in fragments twice");
@@ -409,13 +409,13 @@
         now: Millis,
     ) {
         let holdings = std::mem::take(&mut heartbeat.holdings);
-        self.compare_crashes(from, heartbeat.crashes, now);
+        self.compare_crashes(from, heartbeat.crash_digest, now);
         let evacuations = heartbeat.evacuations.take();
         self.hear_evacuations(evacuations, CatalogSource::Peer, now);
         self.hear_usage_of(&heartbeat, now);
         self.learn_paces(&heartbeat.paces, now);
         if let Some(word) = heartbeat.lease {
-            let rumour = LeaseRumour { from, word, age_ms: 0 };
+            let rumour = LeaseReport { from, claim: word, age_ms: 0 };
             self.lease.borrow_mut().heard(rumour, now);
         }
         let is_new = self.roster.on_heartbeat(from, heartbeat, now);
--- a/crates/valehold-gateway/src/control/upstreams.rs
+++ b/crates/valehold-gateway/src/control/upstreams.rs
@@ -37,7 +37,7 @@
         let delta =
             ListingDelta { before, version, changed, gone, after_outage };
         if self.take_delta(&delta, now) {
-            self.send_all(&Message::Listed(delta));
+            self.send_all(&Message::ListingChanged(delta));
         }
     }
 
--- a/crates/valehold-gateway/src/peers/fragments.rs
+++ b/crates/valehold-gateway/src/peers/fragments.rs
@@ -1,40 +1,42 @@
-//! Messages that are larger than a datagram.
+//! Fragmentation of messages that are larger than a datagram.
 //!
-//! They go out as several datagrams, and are put together where they arrive.
-//! A fragment that is lost is the loss of the whole, as it is of a message that
-//! fits into one.
+//! The sender splits such a message into several datagrams, and the receiver
+//! reassembles it. There is no retransmission: the loss of one fragment loses
+//! the message, just as the loss of a datagram loses a small message.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-/// How many bytes of a message one datagram carries: it has room for a relay's
-/// head besides.
+/// How many bytes of a message one fragment carries. The rest of the datagram
+/// is left for the headers of the fragment and of a relay around it.
 pub const FRAGMENT_BYTES: usize = 56_000;
 
-/// How many fragments a message has at the most: 3.5 MB.
-const MOST_FRAGMENTS: usize = 64;
+/// The most fragments of one message, which limits its size to 3.5 MB.
+const MAX_FRAGMENTS: usize = 64;
 
-/// How many messages are put together at once; the oldest gives way.
-const MOST_AT_ONCE: usize = 8;
+/// The most messages that are reassembled at once. A further one evicts the
+/// oldest.
+const MAX_INCOMPLETE_MESSAGES: usize = 8;
 
 /// A fragment of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fragment {
-    /// The message's number, drawn so that no two are alike.
+    /// The random number that identifies the message.
     pub message: u64,
-    /// Its place, from 0.
+    /// The position in the message, from 0.
     pub index: u8,
-    /// How many parts there are.
+    /// The number of fragments of the message.
     pub count: u8,
-    /// Its bytes.
+    /// The bytes of the message at this position.
     pub bytes: Vec<u8>,
 }
 
-/// Cuts a message into fragments; `None` if it is too large for that.
-pub fn cut(bytes: &[u8], message: u64) -> Option<Vec<Fragment>> {
+/// Splits a message into fragments; returns `None` if it needs more than
+/// `MAX_FRAGMENTS`.
+pub fn split(bytes: &[u8], message: u64) -> Option<Vec<Fragment>> {
     let count = bytes.len().div_ceil(FRAGMENT_BYTES);
-    if count > MOST_FRAGMENTS {
+    if count > MAX_FRAGMENTS {
         return None;
     }
     let count = u8::try_from(count).ok()?;
@@ -48,39 +50,45 @@
     Some(fragments.map(fragment).collect())
 }
 
-/// Fragments of messages of which some have not arrived.
+/// Reassembles messages from fragments, which may arrive in any order.
 #[derive(Debug, Default)]
-pub struct Fragments {
-    of: BTreeMap<u64, BTreeMap<u8, Fragment>>,
-    /// The messages, the oldest first.
+pub struct Reassembler {
+    /// The received fragments of each incomplete message.
+    incomplete: BTreeMap<u64, BTreeMap<u8, Fragment>>,
+    /// The numbers of the incomplete messages, the oldest first.
     order: VecDeque<u64>,
 }
 
-impl Fragments {
-    /// Takes a fragment in; returns the message if that was the last missing one.
-    pub fn take(&mut self, fragment: Fragment) -> Option<Vec<u8>> {
+impl Reassembler {
+    /// Adds a fragment and returns the message if the fragment completes it.
+    pub fn push(&mut self, fragment: Fragment) -> Option<Vec<u8>> {
         let (message, count) = (fragment.message, usize::from(fragment.count));
-        if count > MOST_FRAGMENTS || fragment.index >= fragment.count {
+        if count > MAX_FRAGMENTS || fragment.index >= fragment.count {
             return None;
         }
-        if !self.of.contains_key(&message) {
-            self.make_place();
+        if !self.incomplete.contains_key(&message) {
+            self.evict_oldest();
             self.order.push_back(message);
         }
-        let fragments = self.of.entry(message).or_default();
+        let fragments = self.incomplete.entry(message).or_default();
         fragments.insert(fragment.index, fragment);
         if fragments.len() < count {
             return None;
         }
-        let fragments = self.of.remove(&message)?;
-        self.order.retain(|one| *one != message);
-        Some(fragments.into_values().flat_map(|one| one.bytes).collect())
+        let fragments = self.incomplete.remove(&message)?;
+        self.order.retain(|number| *number != message);
+        Some(
+            fragments
+                .into_values()
+                .flat_map(|fragment| fragment.bytes)
+                .collect(),
+        )
     }
 
-    fn make_place(&mut self) {
-        while self.order.len() >= MOST_AT_ONCE {
+    fn evict_oldest(&mut self) {
+        while self.order.len() >= MAX_INCOMPLETE_MESSAGES {
             let oldest = self.order.pop_front();
-            oldest.and_then(|oldest| self.of.remove(&oldest));
+            oldest.and_then(|oldest| self.incomplete.remove(&oldest));
         }
     }
 }
--- a/crates/valehold-gateway/src/peers/message.rs
+++ b/crates/valehold-gateway/src/peers/message.rs
@@ -1,9 +1,8 @@
-//! What gateways send to each other.
+//! The messages that gateways send to each other.
 //!
-//! Every datagram begins with the format's number. Gateways of two versions
-//! that write different formats do not read one another's datagrams, as if
-//! the others were not there: each kind goes on by itself until the roll-out
-//! is over.
+//! Every datagram begins with the number of its format. A gateway ignores
+//! datagrams in any other format, so two versions of gateways with different
+//! formats run as two separate fleets until the roll-out is complete.
 
 use std::net::SocketAddr;
 
@@ -24,167 +23,170 @@
 
 use super::{
     fragments::{self, Fragment},
-    number::{Audience, WordNumber},
+    number::{Audience, MessageNumber},
     outbox::Urgency,
 };
 use crate::view::{Life, Load};
 
-/// The largest datagram that is sent, in bytes.
+/// The largest datagram that a gateway sends, in bytes.
 pub const MAX_DATAGRAM: usize = 60_000;
 
-/// The number of the format in which gateways write to each other: datagrams
-/// and states. It changes with any change of a type that they carry.
+/// The number of the format of datagrams and of peer states. Any change of a
+/// type that they contain needs another number.
 pub const FORMAT: u8 = 0xBA;
 
-/// What is under way at one upstream.
+/// The load of one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
     /// The upstream's tag.
     pub upstream: UpstreamTag,
-    /// What is under way.
+    /// The requests in flight at the upstream.
     pub load: Load,
 }
 
-/// The demand for one variant that came to one gateway.
+/// The demand for one variant that arrives at one gateway.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VariantDemand {
     /// The variant.
     pub variant: Variant,
-    /// Requests a second.
-    pub requests: f32,
-    /// Engines that it keeps wholly busy.
-    pub busy: f32,
-    /// Requests that are under way.
+    /// The rate of requests.
+    pub requests_per_second: f32,
+    /// How many engines the requests keep fully busy.
+    pub busy_engines: f32,
+    /// The number of requests in flight.
     pub running: u32,
 }
 
-/// The demand for what may be served inside one bound.
+/// The demand of requests that have the same region bound.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BoundDemand {
-    /// The bound.
+    /// The regions in which the requests may be served.
     pub bound: RegionBound,
-    /// The demand.
+    /// The demand for each variant.
     pub variants: Vec<VariantDemand>,
 }
 
-/// What a gateway says of the lease.
+/// The state of the placement lease as its holder or last holder reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LeaseWord {
-    /// It holds it.
+pub enum LeaseClaim {
+    /// The gateway holds the lease.
     Holds {
-        /// The epoch.
+        /// The epoch of the lease.
         epoch: u64,
-        /// The row's version after its last renewal.
+        /// The version of the lease's row after the last renewal.
         version: u64,
     },
-    /// It held it, and will not use this epoch again.
-    GaveUp {
-        /// The epoch.
+    /// The gateway released the lease and will not use this epoch again.
+    Released {
+        /// The released epoch.
         epoch: u64,
-        /// In how many ms another holder's first order may come.
+        /// The time until another holder may send its first order, in ms.
         quiet_ms: u64,
     },
 }
 
-/// What a gateway says of the platform's store.
+/// Whether a gateway reaches the platform's store.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
-pub enum StoreSight {
-    /// It does not ask it.
+pub enum StoreStatus {
+    /// The gateway does not call the store.
     #[default]
     Unknown,
-    /// It answers.
-    Answers,
-    /// It does not answer.
-    Fails,
+    /// The store answers the gateway's calls.
+    Reachable,
+    /// The store does not answer the gateway's calls.
+    Unreachable,
 }
 
-/// What a gateway knows of orders to empty data centres.
+/// The evacuation orders that a gateway knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvacuationWord {
+pub struct EvacuationReport {
     /// The orders.
     pub orders: Evacuations,
-    /// In how many ms all of them are in force at the gateway that tells: who
-    /// hears later does not send any longer.
+    /// The time that remains until all orders are in force at the sender, in
+    /// ms. With a full period instead, a gateway that receives the orders late
+    /// would send to the data centre for longer than the others.
     pub left_ms: u64,
 }
 
-/// A gateway's word about itself.
+/// The periodic report of a gateway about itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Its name.
+    /// The gateway's name.
     pub instance: InstanceId,
-    /// Differs between its starts.
+    /// Identifies the gateway's process; another one after each restart.
     pub start: u64,
-    /// Counts its heartbeats.
+    /// The heartbeat's number in the sequence of this start.
     pub sequence: u64,
-    /// The data centre that it stands in.
+    /// The gateway's data centre.
     pub data_centre: DataCentreId,
-    /// How far its life has come.
+    /// The gateway's phase of life.
     pub life: Life,
-    /// How suited it is to work for the others.
+    /// The gateway's rank in elections of duties.
     pub rank: Rank,
-    /// Where it takes requests.
+    /// The address at which the gateway accepts requests.
     pub requests: SocketAddr,
-    /// Where peers read its state.
+    /// The address at which peers read the gateway's state.
     pub state: SocketAddr,
-    /// The version of its configuration; 0 before the first.
+    /// The version of the gateway's configuration; 0 if it has none.
     pub catalog: u64,
-    /// The version of its list of upstreams; 0 before the first.
+    /// The version of the gateway's list of upstreams; 0 if it has none.
     pub listing: u64,
-    /// What it knows of orders to empty data centres; `None` before it does.
-    pub evacuations: Option<EvacuationWord>,
-    /// The digest of what it knows of crashes.
-    pub crashes: u64,
-    /// What it says of the lease.
-    pub lease: Option<LeaseWord>,
-    /// Whether the platform's store answers it.
-    pub store: StoreSight,
-    /// Where the gateways that it knows take heartbeats.
-    pub known: Vec<SocketAddr>,
-    /// What it has under way.
+    /// The evacuation orders; `None` until the gateway has received them.
+    pub evacuations: Option<EvacuationReport>,
+    /// The digest of the gateway's records of crashes.
+    pub crash_digest: u64,
+    /// The gateway's claim to the placement lease, if it has one.
+    pub lease: Option<LeaseClaim>,
+    /// Whether the gateway reaches the platform's store.
+    pub store: StoreStatus,
+    /// Heartbeat addresses of other gateways.
+    pub known_addresses: Vec<SocketAddr>,
+    /// The gateway's load at each upstream.
     pub loads: Vec<UpstreamLoad>,
-    /// The demand that comes to it.
+    /// The demand that arrives at the gateway.
     pub demand: Vec<BoundDemand>,
-    /// What it let through of workspaces' requests, where that changed.
+    /// The usage totals of workspaces that changed.
     pub usage: Vec<UsageTotal>,
-    /// What it saw of first events, where no hubs hear it in between.
+    /// Observations of the time to the first event, if no hub receives load
+    /// reports from this gateway.
     pub paces: Vec<PaceObservation>,
-    /// How many gateways there were lately, as far as it has seen.
-    pub seen: u32,
-    /// From the holder: what engines hold since its last orders.
+    /// The number of gateways that were recently live, as the sender observed.
+    pub gateways_seen: u32,
+    /// From the lease's holder: the models that engines hold since its last
+    /// orders.
     pub holdings: Vec<EngineHolding>,
 }
 
 impl Heartbeat {
-    /// Returns its place among what the gateway says.
-    pub const fn number(&self) -> WordNumber {
-        WordNumber { start: self.start, sequence: self.sequence }
+    /// Returns the heartbeat's number among the messages of its gateway.
+    pub const fn number(&self) -> MessageNumber {
+        MessageNumber { start: self.start, sequence: self.sequence }
     }
 }
 
-/// What a gateway has under way and let through, between its heartbeats.
+/// The load and the usage of one gateway, sent to hubs between heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The gateway's name.
     pub instance: InstanceId,
-    /// Differs between its starts.
+    /// Identifies the gateway's process; another one after each restart.
     pub start: u64,
-    /// Counts its heartbeats and these together.
+    /// The number in the sequence of this start, which heartbeats share.
     pub sequence: u64,
-    /// What it has under way.
+    /// The gateway's load at each upstream.
     pub loads: Vec<UpstreamLoad>,
-    /// What it let through of workspaces' requests, where that changed.
+    /// The usage totals of workspaces that changed.
     pub usage: Vec<UsageTotal>,
-    /// What it saw of first events.
+    /// Observations of the time to the first event.
     pub paces: Vec<PaceObservation>,
 }
 
-/// A duty that some gateways have for all.
+/// A duty that a few gateways perform for all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Duty {
-    /// Summing up what the gateways of a group say.
+    /// Aggregating the reports of a group's gateways.
     Hub,
     /// Watching the platform's store.
     Observe,
@@ -192,7 +194,7 @@
     Place,
 }
 
-/// How suited a gateway is to work for the others. The greatest comes first.
+/// The rank of a gateway in elections of duties: the greatest wins.
 #[derive(
     Debug,
     Clone,
@@ -206,312 +208,315 @@
     Deserialize,
 )]
 pub struct Rank {
-    /// Its share of a processor, in hundredths.
+    /// The gateway's share of a processor, in hundredths.
     pub strength: u16,
-    /// Tells gateways of equal strength apart.
+    /// Orders gateways of equal strength.
     pub tie: u32,
 }
 
 impl Rank {
-    /// Returns the rank for a duty: of equal gateways, another one comes
-    /// first for each, so that no machine has all of them.
+    /// Returns the rank for a duty. The order of equally strong gateways
+    /// differs between duties, so that one machine does not get all of them.
     #[must_use]
     pub const fn for_duty(self, duty: Duty) -> Self {
-        let turned = match duty {
+        let rotation = match duty {
             Duty::Hub => 0,
             Duty::Observe => 11,
             Duty::Place => 22,
         };
-        Self { strength: self.strength, tie: self.tie.rotate_left(turned) }
+        Self { strength: self.strength, tie: self.tie.rotate_left(rotation) }
     }
 }
 
-/// What a hub hears of one gateway.
+/// One gateway in the member list of a hub.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberWord {
-    /// How suited it is to work for the others.
+pub struct MemberReport {
+    /// The gateway's rank in elections of duties.
     pub rank: Rank,
-    /// Where it takes heartbeats.
+    /// The address at which the gateway receives heartbeats.
     pub heartbeats: SocketAddr,
-    /// Where it takes requests.
+    /// The address at which the gateway accepts requests.
     pub requests: SocketAddr,
-    /// The data centre that it stands in: its place in the message's list.
+    /// The gateway's data centre, as an index into the list of the message.
     pub data_centre: u8,
-    /// How far its life has come.
+    /// The gateway's phase of life.
     pub life: Life,
-    /// Whether the platform's store answers it.
-    pub store: StoreSight,
+    /// Whether the gateway reaches the platform's store.
+    pub store: StoreStatus,
 }
 
-/// Gateways that a hub tells of.
+/// A list of gateways that a hub advertises.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberList {
-    /// The data centres in which they stand.
+    /// The data centres of the gateways.
     pub data_centres: Vec<DataCentreId>,
     /// The gateways.
-    pub members: Vec<MemberWord>,
+    pub members: Vec<MemberReport>,
 }
 
-/// What changed of the gateways that a hub hears of.
+/// The changes of a hub's member list since its last summary.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberNews {
-    /// Those that came or changed since it told last.
+pub struct MemberChanges {
+    /// Gateways that are new or have changed.
     pub changed: MemberList,
-    /// Where those took heartbeats that it does not hear of any more.
-    pub gone: Vec<SocketAddr>,
-    /// The digest of all that it told, these among them.
+    /// Heartbeat addresses of gateways that the hub no longer lists.
+    pub removed: Vec<SocketAddr>,
+    /// The digest of all advertised gateways after these changes.
     pub digest: u64,
-    /// Whether it has told of so many that who stands for what can be told
-    /// from them.
-    pub is_enough: bool,
+    /// Whether the hub has advertised enough gateways to elect hubs and
+    /// observers from them.
+    pub is_sufficient: bool,
 }
 
-/// A part of all gateways that a hub told of: those in a range of addresses at
-/// which they take heartbeats.
+/// A part of a hub's member list: the gateways whose heartbeat addresses are
+/// in one range.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberPart {
-    /// The start of the hub.
+    /// Identifies the hub's process; another one after each restart.
     pub start: u64,
-    /// Where the range begins, this address not in it; `None` if it begins
-    /// with the first.
+    /// The exclusive lower bound of the range; `None` if there is none.
     pub after: Option<SocketAddr>,
-    /// Where the range ends, this address in it; `None` if it ends with the
-    /// last.
+    /// The inclusive upper bound of the range; `None` if there is none.
     pub until: Option<SocketAddr>,
     /// The gateways.
     pub members: MemberList,
-    /// The digest of all that the hub told, in this part and others.
+    /// The digest of all advertised gateways, in this part and the others.
     pub digest: u64,
-    /// Whether it has told of so many that who stands for what can be told
-    /// from them.
-    pub is_enough: bool,
+    /// Whether the hub has advertised enough gateways to elect hubs and
+    /// observers from them.
+    pub is_sufficient: bool,
 }
 
-/// What a hub hears of the lease.
+/// A claim to the placement lease, as a hub passes it on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseRumour {
-    /// Who said it: where it takes heartbeats.
+pub struct LeaseReport {
+    /// The heartbeat address of the gateway that made the claim.
     pub from: SocketAddr,
-    /// What it said.
-    pub word: LeaseWord,
-    /// How long ago, in ms.
+    /// The claim.
+    pub claim: LeaseClaim,
+    /// The age of the claim, in ms.
     pub age_ms: u64,
 }
 
-/// What a hub says to the gateways of its group.
+/// The periodic report of a hub to the gateways of its group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Its place among what the hub says.
-    pub number: WordNumber,
-    /// What changed of the gateways that it hears of, itself among them.
-    pub members: MemberNews,
-    /// What all of them have under way; empty if another hub tells that.
+    /// The number among the messages of the hub.
+    pub number: MessageNumber,
+    /// The changes of the live gateways, which include the hub.
+    pub members: MemberChanges,
+    /// The total load of all gateways; empty if another hub sends it.
     pub loads: Vec<UpstreamLoad>,
-    /// What is said of the lease.
-    pub lease: Vec<LeaseRumour>,
-    /// The newest configuration that it hears of, and where it is.
+    /// The claims to the placement lease.
+    pub lease: Vec<LeaseReport>,
+    /// The newest configuration that any gateway reports.
     pub catalog: Newest,
-    /// The newest list of upstreams that it hears of, and where it is.
+    /// The newest list of upstreams that any gateway reports.
     pub listing: Newest,
-    /// What it knows of orders to empty data centres.
-    pub evacuations: Option<EvacuationWord>,
-    /// The digest of what it knows of crashes.
-    pub crashes: u64,
-    /// What is ruled of workspaces' limits; `None` from a hub that has not
-    /// heard for long enough to rule.
-    pub rulings: Option<Rulings>,
+    /// The evacuation orders that the hub knows.
+    pub evacuations: Option<EvacuationReport>,
+    /// The digest of the hub's records of crashes.
+    pub crash_digest: u64,
+    /// The throttles of workspaces; `None` if the hub has not received
+    /// reports for long enough to compute them.
+    pub throttles: Option<Rulings>,
 }
 
-/// What the foremost hub of one group says to the hubs of the others, and to
-/// the holder of the lease.
+/// The periodic report of a group's primary hub to the hubs of other groups
+/// and to the lease's holder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Its place among what the hub says.
-    pub number: WordNumber,
-    /// The data centre whose gateways are the group.
+    /// The number among the messages of the hub.
+    pub number: MessageNumber,
+    /// The data centre whose gateways form the group.
     pub data_centre: DataCentreId,
     /// The gateways of the group.
     pub members: MemberList,
-    /// What is said of the lease in the group.
-    pub lease: Vec<LeaseRumour>,
-    /// The newest configuration in the group, and where it is.
+    /// The claims to the placement lease in the group.
+    pub lease: Vec<LeaseReport>,
+    /// The newest configuration in the group.
     pub catalog: Newest,
-    /// The newest list of upstreams in the group, and where it is.
+    /// The newest list of upstreams in the group.
     pub listing: Newest,
-    /// What the hub knows of orders to empty data centres.
-    pub evacuations: Option<EvacuationWord>,
-    /// The digest of what the hub knows of crashes.
-    pub crashes: u64,
-    /// The demand that comes to the group; empty but for the holder.
+    /// The evacuation orders that the hub knows.
+    pub evacuations: Option<EvacuationReport>,
+    /// The digest of the hub's records of crashes.
+    pub crash_digest: u64,
+    /// The demand that arrives at the group; empty in digests to gateways
+    /// other than the lease's holder.
     pub demand: Vec<BoundDemand>,
 }
 
-/// What several gateways have under way, told again and again.
+/// The total load of several gateways, sent at short intervals.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadNews {
-    /// Upstreams of which all is told that is under way: those that are not
-    /// among the loads have nothing.
-    pub whole: Option<TagRange>,
-    /// What is under way; nothing, for those that are done since last told.
+pub struct LoadUpdate {
+    /// The range of upstreams whose loads are complete: an upstream in the
+    /// range without an entry has no load.
+    pub complete_range: Option<TagRange>,
+    /// The loads; zero for an upstream whose load has ended since the last
+    /// update.
     pub loads: Vec<UpstreamLoad>,
 }
 
-impl LoadNews {
-    /// Makes the news of everything that is under way.
-    pub fn of_all(loads: Vec<UpstreamLoad>) -> Self {
-        Self { whole: Some(TagRange::default()), loads }
+impl LoadUpdate {
+    /// Creates an update with the loads of all upstreams.
+    pub fn full(loads: Vec<UpstreamLoad>) -> Self {
+        Self { complete_range: Some(TagRange::default()), loads }
     }
 }
 
-/// A range of upstreams, by their tags; by itself all of them.
+/// A range of upstreams by tag; the default contains all of them.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
 pub struct TagRange {
-    /// Where it begins, this one not in it; `None` if with the first.
+    /// The exclusive lower bound; `None` if there is none.
     pub after: Option<UpstreamTag>,
-    /// Where it ends, this one in it; `None` if with the last.
+    /// The inclusive upper bound; `None` if there is none.
     pub until: Option<UpstreamTag>,
 }
 
 impl TagRange {
-    /// Tells whether an upstream is in it.
-    pub fn has(&self, tag: UpstreamTag) -> bool {
+    /// Returns whether the range contains an upstream.
+    pub fn contains(&self, tag: UpstreamTag) -> bool {
         self.after.is_none_or(|after| tag > after)
             && self.until.is_none_or(|until| tag <= until)
     }
 }
 
-/// What the gateways of one group have under way and let through.
+/// The load and the usage of the gateways of one group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupLoads {
-    /// The hub that tells it.
+    /// The name of the hub that sends the message.
     pub instance: InstanceId,
-    /// Its place among what the hub says.
-    pub number: WordNumber,
-    /// The data centre whose gateways are the group.
+    /// The number among the messages of the hub.
+    pub number: MessageNumber,
+    /// The data centre whose gateways form the group.
     pub data_centre: DataCentreId,
-    /// What they have under way.
-    pub news: LoadNews,
-    /// What they let through of workspaces' requests, where that changed.
+    /// The total load of the group's gateways.
+    pub loads: LoadUpdate,
+    /// The usage totals of workspaces that changed in the group.
     pub usage: Vec<UsageTotal>,
 }
 
-/// What the foremost hub of a group tells it between summaries.
+/// The report of a primary hub to its group between summaries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HubNews {
-    /// Its place among what the hub says.
-    pub number: WordNumber,
-    /// What all gateways have under way.
-    pub loads: LoadNews,
-    /// What is ruled of workspaces' limits, as in a summary.
-    pub rulings: Option<Rulings>,
-    /// What was learned of engines and models.
+pub struct HubUpdate {
+    /// The number among the messages of the hub.
+    pub number: MessageNumber,
+    /// The total load of all gateways.
+    pub loads: LoadUpdate,
+    /// The throttles of workspaces, as in a summary.
+    pub throttles: Option<Rulings>,
+    /// The estimated paces of engines and models.
     pub paces: PaceUpdate,
 }
 
-/// The newest version of something that is heard of.
+/// The newest version of a configuration or of a list of upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Newest {
     /// The version.
     pub version: u64,
-    /// Where the state with it can be read.
+    /// The state address of a gateway that has the version.
     pub state: SocketAddr,
 }
 
-/// A datagram.
+/// The content of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A gateway's word about itself.
+    /// The periodic report of a gateway about itself.
     Heartbeat(Box<Heartbeat>),
-    /// To the holder: a request waits for this variant.
-    Wish(Asked),
-    /// From the holder: what engines hold since its last orders.
+    /// To the lease's holder: a request waits for this variant to be loaded.
+    LoadRequest(Asked),
+    /// From the lease's holder: the models that engines hold since its last
+    /// orders.
     Holdings(Vec<EngineHolding>),
-    /// From an observer: changes of the platform's list.
-    Listed(ListingDelta),
-    /// From a hub: what it hears from all.
+    /// From an observer: changes of the platform's list of upstreams.
+    ListingChanged(ListingDelta),
+    /// From a hub to its group: the periodic report on all gateways.
     Summary(Box<Summary>),
-    /// To a hub: something of what it told of gateways was missed.
-    AskMembers,
-    /// From a hub, to one that asked: a part of what it told of gateways.
+    /// To a hub: a request for the whole member list, sent by a gateway that
+    /// missed a part of it.
+    MembersRequest,
+    /// From a hub: a part of the member list, in reply to a request.
     Members(MemberPart),
-    /// To hubs: what a gateway has under way and let through, between its
-    /// heartbeats.
+    /// To hubs: the load and the usage of a gateway, between its heartbeats.
     Loads(LoadReport),
-    /// From the foremost hub of a group: what all gateways have under way and
-    /// may let through, between its summaries.
-    HubNews(HubNews),
-    /// From a group's foremost hub to the other groups' hubs.
+    /// From a group's primary hub to its group, between its summaries: the
+    /// total load of all gateways and the throttles.
+    HubUpdate(HubUpdate),
+    /// From a group's primary hub to the hubs of other groups.
     Digest(Box<Digest>),
-    /// From a group's foremost hub to the other groups' hubs, between its
+    /// From a group's primary hub to the hubs of other groups, between its
     /// digests.
     GroupLoads(GroupLoads),
-    /// From the foremost observer: a configuration that has just come.
+    /// From the primary observer: a new configuration.
     Catalog(Box<Catalog>),
-    /// From who heard it from the store: orders to empty data centres that
-    /// have just changed.
-    Evacuations(EvacuationWord),
-    /// From who saw it: crashes, and requests that were there. To one that
-    /// knows something else: all that is known.
+    /// From a gateway that read the store: changed evacuation orders.
+    Evacuations(EvacuationReport),
+    /// From a gateway that observed crashes: the crashes and the requests that
+    /// were in flight. To a gateway whose records differ: all records.
     Crashes(CrashWords),
-    /// From who had such an answer: upstreams that say that they leave.
+    /// From a gateway that received such an answer: upstreams that announce
+    /// that they are leaving.
     Leaving(Vec<UpstreamStart>),
-    /// From who had such an answer: how many requests upstreams in need take.
+    /// From a gateway that received such an answer: the request rates to
+    /// which upstreams limit their callers.
     UpstreamLimits(Vec<LimitReport>),
     /// A fragment of a message that is larger than a datagram.
     Fragment(Fragment),
-    /// To hubs: a datagram that they pass on to their groups.
+    /// To hubs: a datagram to forward to their groups.
     Relay(Vec<u8>),
-    /// To the grantor of an upstream that is cold or in need: a request is to
-    /// be sent to it.
-    AskRight {
-        /// The wish.
-        ask: PermitRequest,
+    /// To the grantor of an upstream that is cold or has stated a limit: a
+    /// gateway requests a permit to send one request to the upstream.
+    PermitRequest {
+        /// The request for the permit.
+        request: PermitRequest,
         /// Whether the upstream is cold.
         is_cold: bool,
-        /// What is known of its limit.
+        /// The upstream's limit, as the sender knows it.
         limit: Option<LimitReport>,
     },
-    /// From the grantor: its answer to the wish with a number.
-    Right {
-        /// The wish's number.
+    /// From the grantor: the reply to a request for a permit.
+    PermitReply {
+        /// The number of the request for the permit.
         number: u64,
-        /// The answer.
-        answer: PermitReply,
-        /// What the grantor knows of the upstream's limit, if that is later.
+        /// The reply.
+        reply: PermitReply,
+        /// The upstream's limit, if the grantor's report is newer than that
+        /// of the request.
         limit: Option<LimitReport>,
     },
 }
 
-/// Why a datagram cannot be read or written.
+/// Why a datagram cannot be decoded or encoded.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// It is larger than datagrams may be.
-    #[error("it has {bytes} bytes, and datagrams at most {MAX_DATAGRAM}")]
+    /// The message is larger than the largest datagram.
+    #[error("message has {bytes} bytes, above the limit of {MAX_DATAGRAM}")]
     TooLarge {
-        /// Its size, in bytes.
+        /// The size of the message, in bytes.
         bytes: usize,
     },
-    /// It is in a format that another version of gateways writes.
-    #[error("its format is {format:#x}, and this gateway reads {FORMAT:#x}")]
+    /// The datagram is in the format of another version of gateways.
+    #[error("unsupported format {format:#x}, expected {FORMAT:#x}")]
     OtherFormat {
-        /// The format.
+        /// The format of the datagram.
         format: u8,
     },
-    /// It has no bytes.
-    #[error("it is empty")]
+    /// The datagram has no bytes.
+    #[error("empty datagram")]
     Empty,
-    /// It is not what its format says.
+    /// The bytes do not decode to a message of the format.
     #[error(transparent)]
     Malformed(#[from] postcard::Error),
 }
 
-/// Returns what follows the format's number.
+/// Returns the bytes after the number of the format.
 ///
 /// # Errors
 ///
-/// If the format is another one.
+/// If there are no bytes, or the format is not [`FORMAT`].
 pub fn check_format(bytes: &[u8]) -> Result<&[u8], MessageError> {
     match bytes.split_first() {
         Some((&FORMAT, rest)) => Ok(rest),
@@ -521,18 +526,18 @@
 }
 
 impl Message {
-    /// Returns the label under which its bytes are counted.
+    /// Returns the label of the message in the metrics of sent bytes.
     pub const fn label(&self) -> &'static str {
         match self {
             Self::Heartbeat(_) => "heartbeat",
-            Self::Wish(_) => "wish",
+            Self::LoadRequest(_) => "wish",
             Self::Holdings(_) => "holdings",
-            Self::Listed(_) => "listed",
+            Self::ListingChanged(_) => "listed",
             Self::Summary(_) => "summary",
-            Self::AskMembers => "ask_members",
+            Self::MembersRequest => "ask_members",
             Self::Members(_) => "members",
             Self::Loads(_) => "loads",
-            Self::HubNews(_) => "hub_news",
+            Self::HubUpdate(_) => "hub_news",
             Self::Digest(_) => "digest",
             Self::GroupLoads(_) => "group_loads",
             Self::Catalog(_) => "configuration",
@@ -542,24 +547,25 @@
             Self::UpstreamLimits(_) => "upstream_limits",
             Self::Fragment(_) => "fragment",
             Self::Relay(_) => "relay",
-            Self::AskRight { .. } => "ask_right",
-            Self::Right { .. } => "right",
+            Self::PermitRequest { .. } => "ask_right",
+            Self::PermitReply { .. } => "right",
         }
     }
 
-    /// Returns its place among what its sender says to whom, if it replaces
-    /// what was said before and nothing else in it is newer or older.
-    pub fn number(&self) -> Option<(Audience, WordNumber)> {
-        let (to, number) = match self {
+    /// Returns the audience and the number of a message that replaces earlier
+    /// ones as a whole; `None` for messages whose order does not matter or
+    /// whose content carries versions of its own.
+    pub fn number(&self) -> Option<(Audience, MessageNumber)> {
+        let (audience, number) = match self {
             Self::Summary(summary) => (Audience::Group, summary.number),
-            Self::HubNews(news) => (Audience::Group, news.number),
+            Self::HubUpdate(update) => (Audience::Group, update.number),
             Self::Digest(digest) => (Audience::Hubs, digest.number),
             Self::GroupLoads(group) => (Audience::Hubs, group.number),
             Self::Heartbeat(_)
-            | Self::Wish(_)
+            | Self::LoadRequest(_)
             | Self::Holdings(_)
-            | Self::Listed(_)
-            | Self::AskMembers
+            | Self::ListingChanged(_)
+            | Self::MembersRequest
             | Self::Members(_)
             | Self::Loads(_)
             | Self::Catalog(_)
@@ -569,71 +575,73 @@
             | Self::UpstreamLimits(_)
             | Self::Fragment(_)
             | Self::Relay(_)
-            | Self::AskRight { .. }
-            | Self::Right { .. } => return None,
+            | Self::PermitRequest { .. }
+            | Self::PermitReply { .. } => return None,
         };
-        Some((to, number))
+        Some((audience, number))
     }
 
-    /// Returns how urgent it is.
+    /// Returns the urgency with which the message is queued.
     pub const fn urgency(&self) -> Urgency {
         match self {
             Self::Summary(_)
             | Self::Members(_)
-            | Self::HubNews(_)
+            | Self::HubUpdate(_)
             | Self::Digest(_)
             | Self::GroupLoads(_) => Urgency::Regular,
             _ => Urgency::Once,
         }
     }
 
-    /// Writes a datagram.
+    /// Encodes the message as one datagram.
     ///
     /// # Errors
     ///
-    /// If it is too large, or cannot be written.
+    /// If the message is larger than [`MAX_DATAGRAM`] or cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, MessageError> {
-        let bytes = self.write()?;
+        let bytes = self.encode_unbounded()?;
         match bytes.len() <= MAX_DATAGRAM {
             true => Ok(bytes),
             false => Err(MessageError::TooLarge { bytes: bytes.len() }),
         }
     }
 
-    /// Writes one datagram, or as many as it needs; `number` tells it from all
-    /// other messages.
+    /// Encodes the message as one datagram, or as several fragments if it is
+    /// larger. `number` identifies the fragments of one message and must be
+    /// unique.
     ///
     /// # Errors
     ///
-    /// If it is too large for these too, or cannot be written.
+    /// If the message needs too many fragments or cannot be encoded.
     pub fn encode_in_fragments(
         &self,
         number: u64,
     ) -> Result<Vec<Vec<u8>>, MessageError> {
-        let bytes = self.write()?;
-        let most = match self {
-            // It holds a datagram already, for which this room is left.
+        let bytes = self.encode_unbounded()?;
+        let max_bytes = match self {
+            // A relay wraps a datagram of up to `FRAGMENT_BYTES` bytes, and
+            // the difference between the two limits is left for its header.
             Self::Relay(_) => MAX_DATAGRAM,
             _ => fragments::FRAGMENT_BYTES,
         };
-        if bytes.len() <= most {
+        if bytes.len() <= max_bytes {
             return Ok(vec![bytes]);
         }
         let too_large = MessageError::TooLarge { bytes: bytes.len() };
-        let fragments = fragments::cut(&bytes, number).ok_or(too_large)?;
-        let written = fragments.into_iter().map(Self::Fragment);
-        written.map(|one| one.encode()).collect()
+        let fragments = fragments::split(&bytes, number).ok_or(too_large)?;
+        let messages = fragments.into_iter().map(Self::Fragment);
+        messages.map(|message| message.encode()).collect()
     }
 
-    fn write(&self) -> Result<Vec<u8>, MessageError> {
+    fn encode_unbounded(&self) -> Result<Vec<u8>, MessageError> {
         Ok(postcard::to_extend(self, vec![FORMAT])?)
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// If its format is another one, or it is none of these.
+    /// If the datagram has another format or is malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
         Ok(postcard::from_bytes(check_format(bytes)?)?)
     }
--- a/crates/valehold-gateway/src/peers/mod.rs
+++ b/crates/valehold-gateway/src/peers/mod.rs
@@ -1,9 +1,9 @@
-//! Gateways and one another: heartbeats, wishes, and state that is behind.
+//! Communication between gateways: datagrams and the transfer of state.
 //!
-//! Heartbeats go by UDP, without answers: a lost one is followed by the
-//! next. Whole states, the configuration and the list of upstreams, are asked
-//! for by HTTP, and only when a heartbeat shows that a peer has something
-//! newer.
+//! Heartbeats and other messages are sent by UDP without acknowledgement; a
+//! lost heartbeat is made up for by the next one. A gateway reads the
+//! configuration and the list of upstreams from a peer by HTTP, and only when
+//! a message shows that the peer has a newer version.
 
 pub mod fragments;
 pub mod message;
@@ -14,6 +14,6 @@
 
 pub use self::{
     message::{Heartbeat, Message},
-    number::WordNumber,
+    number::MessageNumber,
     roster::Roster,
 };
--- a/crates/valehold-gateway/src/peers/number.rs
+++ b/crates/valehold-gateway/src/peers/number.rs
@@ -1,81 +1,82 @@
-//! The order of what one gateway says.
+//! The order of the messages of one gateway.
 //!
-//! A datagram may overtake another. What replaces what was said before, such
-//! as loads and rulings, is therefore numbered, and older words are passed
-//! over: figures that are old would stand until they are told again.
+//! Datagrams may arrive out of order. Messages that replace earlier ones, such
+//! as loads and throttles, are therefore numbered, and a receiver drops a
+//! message that is older than the last accepted one: stale values would
+//! otherwise be used until the next message.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use serde::{Deserialize, Serialize};
 use valehold_core::Millis;
 
-/// The place of a word among those of one gateway.
+/// The number of a message among those of one gateway.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
-pub struct WordNumber {
-    /// Differs between the gateway's starts.
+pub struct MessageNumber {
+    /// Identifies the gateway's process; another one after each restart.
     pub start: u64,
-    /// Counts what it says.
+    /// Increases with each message of this start.
     pub sequence: u64,
 }
 
-/// For whom a gateway says what it numbers: each of these hears an order of its
-/// own.
+/// The receivers of numbered messages. Each audience receives a sequence of
+/// its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Audience {
-    /// The gateways of its group.
+    /// The gateways of the sender's group.
     Group,
-    /// Hubs of other groups, and the holder of the lease.
+    /// The hubs of other groups, and the lease's holder.
     Hubs,
 }
 
-/// The newest word of a gateway.
+/// The last accepted message of a gateway to one audience.
 #[derive(Debug, Clone, Copy)]
-struct Newest {
-    number: WordNumber,
-    /// The start before, of which words may still be on their way.
-    earlier_start: Option<u64>,
-    heard: Millis,
+struct LastAccepted {
+    number: MessageNumber,
+    /// The previous start, whose messages may still be in flight.
+    previous_start: Option<u64>,
+    received_at: Millis,
 }
 
-/// The newest word of each gateway that numbers what it says.
+/// The last accepted message of each gateway to each audience.
 #[derive(Debug, Default)]
-pub(super) struct WordOrder {
-    newest: BTreeMap<(SocketAddr, Audience), Newest>,
+pub(super) struct MessageOrder {
+    last: BTreeMap<(SocketAddr, Audience), LastAccepted>,
 }
 
-impl WordOrder {
-    /// Takes in a word's number; tells whether none of the same gateway that
-    /// is newer was heard.
-    pub(super) fn take(
+impl MessageOrder {
+    /// Records a message's number and returns whether the message is newer
+    /// than all that were accepted from the gateway for the audience.
+    pub(super) fn accept(
         &mut self,
         from: SocketAddr,
-        (audience, number): (Audience, WordNumber),
+        (audience, number): (Audience, MessageNumber),
         now: Millis,
     ) -> bool {
-        let newest = self.newest.entry((from, audience)).or_insert(Newest {
-            number: WordNumber { sequence: 0, ..number },
-            earlier_start: None,
-            heard: now,
+        let last = self.last.entry((from, audience)).or_insert(LastAccepted {
+            number: MessageNumber { sequence: 0, ..number },
+            previous_start: None,
+            received_at: now,
         });
-        let is_old = match newest.number.start == number.start {
-            true => number.sequence <= newest.number.sequence,
-            false => newest.earlier_start == Some(number.start),
+        let is_stale = match last.number.start == number.start {
+            true => number.sequence <= last.number.sequence,
+            false => last.previous_start == Some(number.start),
         };
-        if is_old {
+        if is_stale {
             return false;
         }
-        if newest.number.start != number.start {
-            newest.earlier_start = Some(newest.number.start);
+        if last.number.start != number.start {
+            last.previous_start = Some(last.number.start);
         }
-        newest.number = number;
-        newest.heard = now;
+        last.number = number;
+        last.received_at = now;
         true
     }
 
-    /// Forgets gateways that have been silent for so many ms.
-    pub(super) fn forget_silent(&mut self, silent_ms: u64, now: Millis) {
-        self.newest.retain(|_, one| now.since(one.heard) < silent_ms);
+    /// Removes gateways without an accepted message in the last `silent_ms`.
+    pub(super) fn prune_silent(&mut self, silent_ms: u64, now: Millis) {
+        self.last.retain(|_, last| now.since(last.received_at) < silent_ms);
     }
 }
--- a/crates/valehold-gateway/src/peers/outbox.rs
+++ b/crates/valehold-gateway/src/peers/outbox.rs
@@ -1,107 +1,110 @@
-//! Datagrams that wait for room in the socket.
+//! The queue of datagrams that do not fit into the socket's buffer.
 //!
-//! A hub tells its whole group at once, which is more than a socket and a slow
-//! link take in one moment. What finds no room waits here and goes out as
-//! room comes, in the order in which it was said; what is told only once goes
-//! before what is told again and again. What would wait for longer than a
-//! second of the link is dropped: by then it is old.
+//! A hub sends to its whole group at once, which is more than the socket's
+//! buffer and a slow link take in one moment. The remaining datagrams are
+//! queued and sent in order as the socket becomes writable. Datagrams that are
+//! sent only once have precedence over periodic ones. A datagram that would
+//! wait for more than a second of the link's bandwidth is dropped, since its
+//! content would be stale on arrival.
 
 use std::{collections::VecDeque, net::SocketAddr};
 
 use bytes::Bytes;
 
-/// For how long of its link a gateway lets datagrams wait, in ms.
-const WAIT_MS: f64 = 1_000.0;
+/// The size of the queue, as the time that the link takes to send it, in ms.
+const MAX_WAIT_MS: f64 = 1_000.0;
 
-/// How many bytes wait at the most, however fast the link is.
-const MOST_BYTES: usize = 16 * 1024 * 1024;
+/// The most bytes in the queue, however fast the link is.
+const MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// How urgent a datagram is.
+/// The urgency with which a datagram is queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
-    /// It is told once, or asked for.
+    /// The datagram is not repeated, or it is a reply.
     Once,
-    /// It is told again and again.
+    /// The datagram is periodic, so the next one makes up for a loss.
     Regular,
 }
 
 /// A datagram for one gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
-    /// The gateway.
+    /// The heartbeat address of the gateway.
     pub to: SocketAddr,
-    /// What it is sent.
+    /// The content.
     pub bytes: Bytes,
-    /// Under which its bytes are counted.
+    /// The label of the message in the metrics of sent bytes.
     pub label: &'static str,
 }
 
-/// What became of a datagram.
+/// The outcome of an attempt to send a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sent {
-    /// The socket took it.
-    Taken,
-    /// The socket has no room for now.
-    NoRoom,
-    /// It cannot be sent.
+pub enum SendOutcome {
+    /// The socket accepted the datagram.
+    Accepted,
+    /// The socket's buffer is full.
+    WouldBlock,
+    /// The datagram cannot be sent.
     Failed,
 }
 
-/// Datagrams that wait for room in the socket.
+/// The queue of datagrams that wait for the socket.
 #[derive(Debug)]
 pub struct Outbox {
     once: VecDeque<Datagram>,
     regular: VecDeque<Datagram>,
     bytes: usize,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
 impl Outbox {
-    /// Makes an empty one before a link.
+    /// Creates an empty queue for a link of this bandwidth.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn new(link_mbps: f64) -> Self {
-        let bytes_each_ms = link_mbps * 1_000.0 / 8.0;
-        let most_bytes = (bytes_each_ms * WAIT_MS) as usize;
+        let bytes_per_ms = link_mbps * 1_000.0 / 8.0;
+        let max_bytes = (bytes_per_ms * MAX_WAIT_MS) as usize;
         Self {
             once: VecDeque::new(),
             regular: VecDeque::new(),
             bytes: 0,
-            most_bytes: most_bytes.min(MOST_BYTES),
+            max_bytes: max_bytes.min(MAX_BYTES),
         }
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no datagram waits.
     pub fn is_empty(&self) -> bool {
         self.once.is_empty() && self.regular.is_empty()
     }
 
-    /// Returns how many bytes wait.
+    /// Returns the number of bytes in the queue.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Sends a datagram, or lets it wait; tells whether it was sent or waits.
+    /// Sends a datagram or queues it. Returns `false` if the datagram was
+    /// dropped, because sending failed or the queue is full.
     pub fn send(
         &mut self,
         datagram: Datagram,
         urgency: Urgency,
-        mut send: impl FnMut(&Datagram) -> Sent,
+        mut send: impl FnMut(&Datagram) -> SendOutcome,
     ) -> bool {
         let is_next = match urgency {
             Urgency::Once => self.once.is_empty(),
             Urgency::Regular => self.is_empty(),
         };
-        let sent = if is_next { send(&datagram) } else { Sent::NoRoom };
-        match sent {
-            Sent::Taken => true,
-            Sent::Failed => false,
-            Sent::NoRoom => self.push(datagram, urgency),
+        let outcome =
+            if is_next { send(&datagram) } else { SendOutcome::WouldBlock };
+        match outcome {
+            SendOutcome::Accepted => true,
+            SendOutcome::Failed => false,
+            SendOutcome::WouldBlock => self.push(datagram, urgency),
         }
     }
 
     fn push(&mut self, datagram: Datagram, urgency: Urgency) -> bool {
         let bytes = self.bytes + datagram.bytes.len();
-        if bytes > self.most_bytes {
+        if bytes > self.max_bytes {
             return false;
         }
         self.bytes = bytes;
@@ -112,11 +115,12 @@
         true
     }
 
-    /// Sends what waits until there is no room.
-    pub fn flush(&mut self, mut send: impl FnMut(&Datagram) -> Sent) {
+    /// Sends queued datagrams until the socket's buffer is full. Datagrams
+    /// that cannot be sent are dropped.
+    pub fn flush(&mut self, mut send: impl FnMut(&Datagram) -> SendOutcome) {
         for queue in [&mut self.once, &mut self.regular] {
             while let Some(next) = queue.front() {
-                if send(next) == Sent::NoRoom {
+                if send(next) == SendOutcome::WouldBlock {
                     return;
                 }
                 self.bytes -= next.bytes.len();
--- a/crates/valehold-gateway/src/peers/roster/duties.rs
+++ b/crates/valehold-gateway/src/peers/roster/duties.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::{Roster, hierarchy::Member};
-use crate::peers::message::{Duty, StoreSight};
+use crate::peers::message::{Duty, StoreStatus};
 
 /// The number of gateways that watch the platform's list of upstreams for the
 /// fleet.
@@ -42,7 +42,7 @@
     /// The gateways of highest rank observe the store, except those that the
     /// store rejects. A rejected gateway keeps probing the store; where there
     /// are hubs, only the first `MAX_PROBING_GATEWAYS` gateways do so.
-    pub fn observer_role(&self, own_status: StoreSight) -> ObserverRole {
+    pub fn observer_role(&self, own_status: StoreStatus) -> ObserverRole {
         let own_rank = self.own.rank.for_duty(Duty::Observe);
         let outranks = |(_, member): &(SocketAddr, &Member)| {
             member.rank.for_duty(Duty::Observe) > own_rank
@@ -50,14 +50,16 @@
         let others = self.hierarchy.serving_others().filter(outranks);
         let position = others.clone().count();
         let fails = |(_, member): &(SocketAddr, &Member)| {
-            member.store == StoreSight::Fails
+            member.store == StoreStatus::Unreachable
         };
         let failing = others.filter(fails).count();
         let is_beyond_limit =
             self.has_hubs() && position >= MAX_PROBING_GATEWAYS;
         match position - failing {
             _ if is_beyond_limit => ObserverRole::Inactive,
-            _ if own_status == StoreSight::Fails => ObserverRole::Primary,
+            _ if own_status == StoreStatus::Unreachable => {
+                ObserverRole::Primary
+            }
             0 => ObserverRole::Primary,
             position if position < STORE_OBSERVERS => ObserverRole::Standby,
             position if position < CONFIGURATION_WATCHERS => {
@@ -79,7 +81,7 @@
     /// Returns whether the store answers another serving gateway.
     pub fn others_reach_store(&self) -> bool {
         let mut others = self.hierarchy.serving_others();
-        others.any(|(_, member)| member.store == StoreSight::Answers)
+        others.any(|(_, member)| member.store == StoreStatus::Reachable)
     }
 
     /// Returns the number of gateways with a higher rank than this one for a
--- a/crates/valehold-gateway/src/peers/roster/hierarchy.rs
+++ b/crates/valehold-gateway/src/peers/roster/hierarchy.rs
@@ -14,7 +14,7 @@
 use super::LocalMember;
 use crate::{
     peers::message::{
-        Duty, Heartbeat, MemberList, MemberWord, Rank, StoreSight,
+        Duty, Heartbeat, MemberList, MemberReport, Rank, StoreStatus,
     },
     view::Life,
 };
@@ -60,7 +60,7 @@
     /// The stage of the gateway's life.
     pub life: Life,
     /// Whether the platform's store answers the gateway.
-    pub store: StoreSight,
+    pub store: StoreStatus,
 }
 
 impl Member {
@@ -121,7 +121,7 @@
             self.data_centres.push(member.data_centre.clone());
             self.data_centres.len() - 1
         });
-        self.members.push(MemberWord {
+        self.members.push(MemberReport {
             rank: member.rank,
             heartbeats,
             requests: member.requests,
--- a/crates/valehold-gateway/src/peers/roster/hub_reports.rs
+++ b/crates/valehold-gateway/src/peers/roster/hub_reports.rs
@@ -10,8 +10,8 @@
     members::MemberTable,
 };
 use crate::peers::message::{
-    BoundDemand, Digest, Heartbeat, LeaseRumour, LeaseWord, MemberList,
-    MemberNews, Newest, Summary,
+    BoundDemand, Digest, Heartbeat, LeaseClaim, LeaseReport, MemberChanges,
+    MemberList, Newest, Summary,
 };
 
 impl Roster {
@@ -101,25 +101,26 @@
     /// holders, the one with the highest epoch is returned.
     pub fn lease_holder(&self, now: Millis) -> Option<SocketAddr> {
         let lease_reports = self.lease_reports(now);
-        let held =
-            lease_reports.into_iter().filter_map(|report| match report.word {
-                LeaseWord::Holds { epoch, .. } => Some((epoch, report.from)),
-                LeaseWord::GaveUp { .. } => None,
-            });
+        let held = lease_reports.into_iter().filter_map(|report| match report
+            .claim
+        {
+            LeaseClaim::Holds { epoch, .. } => Some((epoch, report.from)),
+            LeaseClaim::Released { .. } => None,
+        });
         held.max().map(|(_, holder)| holder)
     }
 
     /// Returns the lease reports of other gateways, received directly or from
     /// hubs.
-    pub fn lease_reports(&self, now: Millis) -> Vec<LeaseRumour> {
+    pub fn lease_reports(&self, now: Millis) -> Vec<LeaseReport> {
         let direct = self.live_peers(now).filter_map(|peer| {
-            Some(LeaseRumour {
+            Some(LeaseReport {
                 from: peer.address,
-                word: peer.heartbeat.lease?,
+                claim: peer.heartbeat.lease?,
                 age_ms: now.since(peer.received_at),
             })
         });
-        let mut all: Vec<LeaseRumour> = direct.collect();
+        let mut all: Vec<LeaseReport> = direct.collect();
         for summary in self.live_summaries(now) {
             self.add_lease_reports(
                 &mut all,
@@ -141,8 +142,8 @@
 
     fn add_lease_reports(
         &self,
-        all: &mut Vec<LeaseRumour>,
-        received: &[LeaseRumour],
+        all: &mut Vec<LeaseReport>,
+        received: &[LeaseReport],
         at: Millis,
         now: Millis,
     ) {
@@ -151,7 +152,7 @@
             false => self.silent_ms,
         };
         let elapsed_ms = now.since(at);
-        let aged = received.iter().map(|report| LeaseRumour {
+        let aged = received.iter().map(|report| LeaseReport {
             age_ms: report.age_ms.saturating_add(elapsed_ms),
             ..*report
         });
@@ -165,9 +166,10 @@
         &self,
         own: &Heartbeat,
         now: Millis,
-    ) -> Vec<LeaseRumour> {
+    ) -> Vec<LeaseReport> {
         let from = self.own.heartbeats;
-        let own = own.lease.map(|word| LeaseRumour { from, word, age_ms: 0 });
+        let own =
+            own.lease.map(|word| LeaseReport { from, claim: word, age_ms: 0 });
         let mut all = self.lease_reports(now);
         all.extend(own);
         all.sort_by_key(|report| (report.from, report.age_ms));
@@ -200,7 +202,7 @@
     pub fn summary(
         &self,
         own: &Heartbeat,
-        members: MemberNews,
+        members: MemberChanges,
         rulings: Option<Rulings>,
         now: Millis,
     ) -> Summary {
@@ -224,8 +226,8 @@
                 newest(listings),
             ),
             evacuations: own.evacuations.clone(),
-            crashes: own.crashes,
-            rulings,
+            crash_digest: own.crash_digest,
+            throttles: rulings,
         }
     }
 
@@ -246,7 +248,7 @@
             catalog: self.newest_direct_catalog(own, now),
             listing: self.newest_direct_listing(own, now),
             evacuations: own.evacuations.clone(),
-            crashes: own.crashes,
+            crash_digest: own.crash_digest,
             demand,
         }
     }
@@ -254,10 +256,12 @@
     /// Returns the largest number of recently seen gateways that any peer or
     /// hub reports, or 0 without reports.
     pub fn max_reported_gateways(&self, now: Millis) -> usize {
-        let peers = self.live_peers(now).map(|peer| peer.heartbeat.seen);
+        let peers =
+            self.live_peers(now).map(|peer| peer.heartbeat.gateways_seen);
         let hubs = self.live_summaries(now);
-        let hubs = hubs
-            .filter_map(|summary| Some(summary.report.rulings.as_ref()?.seen));
+        let hubs = hubs.filter_map(|summary| {
+            Some(summary.report.throttles.as_ref()?.seen)
+        });
         let largest = peers.chain(hubs).max().unwrap_or(0);
         usize::try_from(largest).unwrap_or(usize::MAX)
     }
--- a/crates/valehold-gateway/src/peers/roster/members.rs
+++ b/crates/valehold-gateway/src/peers/roster/members.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::hierarchy::{Member, members_of};
-use crate::peers::message::{MemberList, MemberNews, MemberPart};
+use crate::peers::message::{MemberChanges, MemberList, MemberPart};
 
 /// The largest number of members in one datagram, at some 25 bytes each.
 const MAX_PER_DATAGRAM: usize = 1_024;
@@ -84,8 +84,8 @@
     }
 
     /// Removes and inserts the members that an update lists.
-    fn apply(&mut self, update: &MemberNews) {
-        for address in &update.gone {
+    fn apply(&mut self, update: &MemberChanges) {
+        for address in &update.removed {
             self.remove(address);
         }
         self.insert_all(&update.changed);
@@ -146,14 +146,14 @@
     pub(super) fn apply_changes(
         &mut self,
         start: u64,
-        update: &MemberNews,
+        update: &MemberChanges,
     ) -> bool {
         if self.start != start {
             *self = Self { start, ..Self::default() };
         }
         self.table.apply(update);
         let is_missing = self.table.digest != update.digest;
-        self.is_sufficient |= update.is_enough && !is_missing;
+        self.is_sufficient |= update.is_sufficient && !is_missing;
         is_missing
     }
 
@@ -165,7 +165,7 @@
         }
         self.table.replace(part);
         let is_missing = self.table.digest != part.digest;
-        self.is_sufficient |= part.is_enough && !is_missing;
+        self.is_sufficient |= part.is_sufficient && !is_missing;
     }
 
     /// Returns the members once they suffice to choose hubs and observers, or
@@ -197,7 +197,7 @@
         &mut self,
         current: &BTreeMap<SocketAddr, Member>,
         limit: usize,
-    ) -> MemberNews {
+    ) -> MemberChanges {
         let advertised = &self.advertised.members;
         let is_gone = |address: &&SocketAddr| !current.contains_key(address);
         let gone = advertised.keys().filter(is_gone).take(limit);
@@ -212,13 +212,17 @@
             changed.truncate(remaining);
         }
         let changed = MemberList::of(changed);
-        let mut update =
-            MemberNews { changed, gone, digest: 0, is_enough: false };
+        let mut update = MemberChanges {
+            changed,
+            removed: gone,
+            digest: 0,
+            is_sufficient: false,
+        };
         self.advertised.apply(&update);
         self.is_sufficient = self.advertised.len() >= SUFFICIENT_MEMBERS
             || self.advertised.members == *current;
         update.digest = self.advertised.digest;
-        update.is_enough = self.is_sufficient;
+        update.is_sufficient = self.is_sufficient;
         update
     }
 
@@ -272,7 +276,7 @@
                 until,
                 members,
                 digest: self.advertised.digest,
-                is_enough: self.is_sufficient,
+                is_sufficient: self.is_sufficient,
             });
         }
         if let Some(last) = parts.last_mut() {
--- a/crates/valehold-gateway/src/peers/roster/mod.rs
+++ b/crates/valehold-gateway/src/peers/roster/mod.rs
@@ -42,10 +42,10 @@
     sums::ReceivedLoads,
 };
 use super::message::{
-    Digest, GroupLoads, Heartbeat, LoadNews, LoadReport, MemberList,
-    MemberPart, Newest, Rank, StoreSight, Summary,
+    Digest, GroupLoads, Heartbeat, LoadReport, LoadUpdate, MemberList,
+    MemberPart, Newest, Rank, StoreStatus, Summary,
 };
-use super::number::{Audience, WordNumber, WordOrder};
+use super::number::{Audience, MessageNumber, MessageOrder};
 use crate::view::{Life, ReadyMember};
 
 /// How long a silent gateway still receives heartbeats, in ms.
@@ -109,7 +109,7 @@
     /// may have lost contact with the others.
     uncontacted: BTreeSet<SocketAddr>,
     hierarchy: Hierarchy,
-    message_order: WordOrder,
+    message_order: MessageOrder,
     heartbeat_rounds: u64,
 }
 
@@ -133,7 +133,7 @@
             known_addresses: BTreeMap::new(),
             seeds: BTreeSet::new(),
             uncontacted: BTreeSet::new(),
-            message_order: WordOrder::default(),
+            message_order: MessageOrder::default(),
             heartbeat_rounds: 0,
         };
         roster.set_seeds(seeds);
@@ -157,7 +157,7 @@
         heartbeat: Heartbeat,
         now: Millis,
     ) -> bool {
-        for address in &heartbeat.known {
+        for address in &heartbeat.known_addresses {
             if *address != self.own.heartbeats {
                 self.known_addresses.entry(*address).or_insert(now);
                 if !self.hierarchy.contains(address) {
@@ -192,10 +192,10 @@
     pub fn accept_number(
         &mut self,
         from: SocketAddr,
-        number: (Audience, WordNumber),
+        number: (Audience, MessageNumber),
         now: Millis,
     ) -> bool {
-        self.message_order.take(from, number, now)
+        self.message_order.accept(from, number, now)
     }
 
     /// Records the summary of a hub of this gateway's group. Returns whether
@@ -209,7 +209,7 @@
         self.hierarchy.record_receipt(from, now);
         if !summary.loads.is_empty() {
             let loads = std::mem::take(&mut summary.loads);
-            self.on_load_update(LoadNews::of_all(loads), now);
+            self.on_load_update(LoadUpdate::full(loads), now);
         }
         let members = std::mem::take(&mut summary.members);
         let received = self.members_by_hub.entry(from).or_default();
@@ -273,14 +273,14 @@
     }
 
     /// Records a hub's update of the in-flight loads of all gateways.
-    pub fn on_load_update(&mut self, update: LoadNews, now: Millis) {
+    pub fn on_load_update(&mut self, update: LoadUpdate, now: Millis) {
         self.load_sums.apply(update, now);
     }
 
     /// Records the in-flight loads of another data centre's gateways.
     pub fn on_group_loads(&mut self, group: GroupLoads, now: Millis) {
         let received = self.group_loads.entry(group.data_centre).or_default();
-        received.apply(group.news, now);
+        received.apply(group.loads, now);
     }
 
     /// Prunes silent gateways and recomputes the hierarchy, if a recomputation
@@ -310,7 +310,7 @@
         let summaries = &self.summaries;
         self.members_by_hub.retain(|hub, _| summaries.contains_key(hub));
         self.digests.retain(|_, digest| is_recent(digest.received_at));
-        self.message_order.forget_silent(FORGET_AFTER_MS, now);
+        self.message_order.prune_silent(FORGET_AFTER_MS, now);
     }
 
     /// Recomputes the hierarchy. Returns whether the set of gateways that
@@ -501,7 +501,7 @@
     /// The stage of this gateway's life.
     pub life: Life,
     /// Whether the platform's store answers this gateway.
-    pub store: StoreSight,
+    pub store: StoreStatus,
 }
 
 /// Returns the state address of a gateway with the newest version above
--- a/crates/valehold-gateway/src/peers/roster/sums.rs
+++ b/crates/valehold-gateway/src/peers/roster/sums.rs
@@ -11,7 +11,7 @@
 use super::{HUB_REPORT_TTL_FACTOR, Roster};
 use crate::{
     peers::message::{
-        BoundDemand, LoadNews, TagRange, UpstreamLoad, VariantDemand,
+        BoundDemand, LoadUpdate, TagRange, UpstreamLoad, VariantDemand,
     },
     view::Load,
 };
@@ -31,9 +31,9 @@
 }
 
 impl ReceivedLoads {
-    pub(super) fn apply(&mut self, update: LoadNews, now: Millis) {
-        if let Some(complete_range) = update.whole {
-            self.loads.retain(|tag, _| !complete_range.has(*tag));
+    pub(super) fn apply(&mut self, update: LoadUpdate, now: Millis) {
+        if let Some(complete_range) = update.complete_range {
+            self.loads.retain(|tag, _| !complete_range.contains(*tag));
         }
         for entry in update.loads {
             self.loads.insert(entry.upstream, entry.load);
@@ -70,7 +70,7 @@
         &mut self,
         sums: &[UpstreamLoad],
         limit: usize,
-    ) -> LoadNews {
+    ) -> LoadUpdate {
         let sums = loads_by_upstream(sums);
         let (whole, mut loads) = self.repeat_next(&sums);
         let mut changed = self.changed(&sums);
@@ -79,7 +79,7 @@
             self.advertised.insert(change.upstream, change.load);
         }
         loads.extend(changed);
-        LoadNews { whole: Some(whole), loads }
+        LoadUpdate { complete_range: Some(whole), loads }
     }
 
     /// Takes the next upstreams to repeat, and the range of tags that they
@@ -95,7 +95,7 @@
         let until = last.filter(|_| next.next().is_some());
         self.last_repeated = until;
         let range = TagRange { after, until };
-        self.advertised.retain(|tag, _| !range.has(*tag));
+        self.advertised.retain(|tag, _| !range.contains(*tag));
         self.advertised
             .extend(repeated.iter().map(|entry| (entry.upstream, entry.load)));
         (range, repeated)
@@ -267,8 +267,8 @@
     for added in demand {
         sum.entry(added.variant.clone())
             .and_modify(|total| {
-                total.requests += added.requests;
-                total.busy += added.busy;
+                total.requests_per_second += added.requests_per_second;
+                total.busy_engines += added.busy_engines;
                 total.running = total.running.saturating_add(added.running);
             })
             .or_insert_with(|| added.clone());
--- a/crates/valehold-gateway/tests/format.rs
+++ b/crates/valehold-gateway/tests/format.rs
@@ -11,7 +11,7 @@
 
 #[gtest]
 fn a_datagram_is_read_as_it_was_written() {
-    let wish = Message::Wish(Asked {
+    let wish = Message::LoadRequest(Asked {
         bound: RegionBound::within(["north"]),
         variant: Variant::adapted("alpha", "a1"),
     });
--- a/crates/valehold-gateway/tests/outbox.rs
+++ b/crates/valehold-gateway/tests/outbox.rs
@@ -11,9 +11,9 @@
 };
 use valehold_gateway::peers::{
     Message,
-    fragments::Fragments,
+    fragments::Reassembler,
     message::MAX_DATAGRAM,
-    outbox::{Datagram, Outbox, Sent, Urgency},
+    outbox::{Datagram, Outbox, SendOutcome, Urgency},
 };
 
 fn to(number: u16) -> SocketAddr {
@@ -32,13 +32,13 @@
 }
 
 impl Socket {
-    fn send(&mut self, datagram: &Datagram) -> Sent {
+    fn send(&mut self, datagram: &Datagram) -> SendOutcome {
         let Some(room) = self.room.checked_sub(datagram.bytes.len()) else {
-            return Sent::NoRoom;
+            return SendOutcome::WouldBlock;
         };
         self.room = room;
         self.taken.push(datagram.to.port());
-        Sent::Taken
+        SendOutcome::Accepted
     }
 }
 
@@ -92,7 +92,7 @@
     for number in 0..1_000 {
         let sent =
             outbox.send(datagram(number, 1_000), Urgency::Regular, |_| {
-                Sent::NoRoom
+                SendOutcome::WouldBlock
             });
         waiting += usize::from(sent);
     }
@@ -131,12 +131,12 @@
 
 /// Returns the message that some datagrams carry, in this order.
 fn arrived(datagrams: &[Vec<u8>]) -> Option<Message> {
-    let mut fragments = Fragments::default();
+    let mut fragments = Reassembler::default();
     let mut arrived = None;
     for bytes in datagrams {
         match Message::decode(bytes).unwrap() {
             Message::Fragment(one) => {
-                if let Some(bytes) = fragments.take(one) {
+                if let Some(bytes) = fragments.push(one) {
                     arrived = Some(Message::decode(&bytes).unwrap());
                 }
             }
@@ -159,7 +159,7 @@
 
 #[gtest]
 fn fragments_that_never_come_are_given_up_for_later_messages() {
-    let mut fragments = Fragments::default();
+    let mut fragments = Reassembler::default();
     let fragment = |number: u64, index: usize| {
         let datagrams = holdings(8_000).encode_in_fragments(number).unwrap();
         match Message::decode(&datagrams[index]).unwrap() {
@@ -168,14 +168,14 @@
         }
     };
     for number in 0..20 {
-        expect_that!(fragments.take(fragment(number, 0)), none());
+        expect_that!(fragments.push(fragment(number, 0)), none());
     }
     let count = holdings(8_000).encode_in_fragments(0).unwrap().len();
     // The newest is still put together, the oldest is not.
     let last =
-        (1..count).map(|index| fragments.take(fragment(19, index))).last();
+        (1..count).map(|index| fragments.push(fragment(19, index))).last();
     expect_that!(last, some(some(anything())));
     let first =
-        (1..count).map(|index| fragments.take(fragment(0, index))).last();
+        (1..count).map(|index| fragments.push(fragment(0, index))).last();
     expect_that!(first, some(none()));
 }
--- a/crates/valehold-gateway/tests/peer_bytes.rs
+++ b/crates/valehold-gateway/tests/peer_bytes.rs
@@ -15,10 +15,10 @@
 };
 use valehold_gateway::{
     peers::{
-        Heartbeat, Message, Roster, WordNumber,
+        Heartbeat, Message, MessageNumber, Roster,
         message::{
-            GroupLoads, HubNews, LeaseWord, LoadNews, LoadReport, MemberPart,
-            Rank, StoreSight, Summary, UpstreamLoad,
+            GroupLoads, HubUpdate, LeaseClaim, LoadReport, LoadUpdate,
+            MemberPart, Rank, StoreStatus, Summary, UpstreamLoad,
         },
         roster::{
             LocalMember, LocalReport, members::AdvertisedMembers, sums::Loads,
@@ -70,17 +70,17 @@
         state: address(number),
         catalog: 3,
         listing: 3,
-        lease: Some(LeaseWord::Holds { epoch: 2, version: 9 }),
-        store: StoreSight::Answers,
-        known: vec![address(9)],
+        lease: Some(LeaseClaim::Holds { epoch: 2, version: 9 }),
+        store: StoreStatus::Reachable,
+        known_addresses: vec![address(9)],
         loads: loads(),
         demand: Vec::new(),
         usage: Vec::new(),
         paces: Vec::new(),
-        seen: 3,
+        gateways_seen: 3,
         holdings: Vec::new(),
         evacuations: None,
-        crashes: 0,
+        crash_digest: 0,
     }
 }
 
@@ -107,7 +107,7 @@
     LocalReport {
         requests: address(1),
         life: Life::Serving,
-        store: StoreSight::Answers,
+        store: StoreStatus::Reachable,
     }
 }
 
@@ -135,8 +135,8 @@
 /// Returns one encoded datagram of each kind that the roster handles.
 fn datagrams() -> Vec<Vec<u8>> {
     let (roster, now) = (roster(), Millis::new(500));
-    let number = WordNumber { start: 1, sequence: 1 };
-    let news = LoadNews::of_all(loads());
+    let number = MessageNumber { start: 1, sequence: 1 };
+    let news = LoadUpdate::full(loads());
     let own = heartbeat(1);
     let messages = [
         Message::Heartbeat(Box::new(own.clone())),
@@ -151,17 +151,17 @@
             usage: Vec::new(),
             paces: Vec::new(),
         }),
-        Message::HubNews(HubNews {
+        Message::HubUpdate(HubUpdate {
             number,
             loads: news.clone(),
-            rulings: None,
+            throttles: None,
             paces: PaceUpdate::default(),
         }),
         Message::GroupLoads(GroupLoads {
             instance: InstanceId::new("g2"),
             number,
             data_centre: DataCentreId::new("south"),
-            news,
+            loads: news,
             usage: Vec::new(),
         }),
     ];
@@ -204,7 +204,7 @@
         Message::Members(part) => roster.on_member_part(from, &part, now),
         Message::Digest(digest) => roster.on_digest(from, *digest, now),
         Message::Loads(report) => roster.on_load_report(report, now),
-        Message::HubNews(update) => roster.on_load_update(update.loads, now),
+        Message::HubUpdate(update) => roster.on_load_update(update.loads, now),
         Message::GroupLoads(group) => roster.on_group_loads(group, now),
         _ => {}
     }
--- a/crates/valehold-gateway/tests/recorded_bytes.rs
+++ b/crates/valehold-gateway/tests/recorded_bytes.rs
@@ -42,12 +42,12 @@
 };
 use valehold_gateway::{
     peers::{
-        Heartbeat, Message, WordNumber,
+        Heartbeat, Message, MessageNumber,
         fragments::Fragment,
         message::{
-            BoundDemand, Digest, EvacuationWord, GroupLoads, HubNews,
-            LeaseRumour, LeaseWord, LoadNews, LoadReport, MemberList,
-            MemberNews, MemberPart, MemberWord, Newest, Rank, StoreSight,
+            BoundDemand, Digest, EvacuationReport, GroupLoads, HubUpdate,
+            LeaseClaim, LeaseReport, LoadReport, LoadUpdate, MemberChanges,
+            MemberList, MemberPart, MemberReport, Newest, Rank, StoreStatus,
             Summary, TagRange, UpstreamLoad, VariantDemand,
         },
         state::PeerState,
@@ -136,12 +136,12 @@
     ]
 }
 
-fn load_news() -> LoadNews {
-    let whole = TagRange {
+fn load_update() -> LoadUpdate {
+    let complete_range = TagRange {
         after: Some(UpstreamTag::new(4)),
         until: Some(UpstreamTag::new(0x0f00_0000)),
     };
-    LoadNews { whole: Some(whole), loads: loads() }
+    LoadUpdate { complete_range: Some(complete_range), loads: loads() }
 }
 
 fn usage() -> Vec<UsageTotal> {
@@ -153,7 +153,7 @@
     }]
 }
 
-fn rulings() -> Option<Rulings> {
+fn throttles() -> Option<Rulings> {
     let ruling = Ruling {
         workspace: WorkspaceId::new("acme").tag(),
         let_through: Part::new(0.25),
@@ -188,8 +188,8 @@
 fn demand() -> Vec<BoundDemand> {
     let variants = vec![VariantDemand {
         variant: variant(),
-        requests: 1.5,
-        busy: 0.75,
+        requests_per_second: 1.5,
+        busy_engines: 0.75,
         running: 12,
     }];
     vec![BoundDemand { bound: bound(), variants }]
@@ -201,41 +201,41 @@
     Evacuations { version: 14, data_centres: BTreeSet::from(data_centres) }
 }
 
-fn evacuation_word() -> EvacuationWord {
-    EvacuationWord { orders: evacuations(), left_ms: 2_900 }
+fn evacuation_report() -> EvacuationReport {
+    EvacuationReport { orders: evacuations(), left_ms: 2_900 }
 }
 
-fn lease() -> Vec<LeaseRumour> {
+fn lease() -> Vec<LeaseReport> {
     vec![
-        LeaseRumour {
+        LeaseReport {
             from: v4(3),
-            word: LeaseWord::GaveUp { epoch: 8, quiet_ms: 900 },
+            claim: LeaseClaim::Released { epoch: 8, quiet_ms: 900 },
             age_ms: 150,
         },
-        LeaseRumour {
+        LeaseReport {
             from: v6(4),
-            word: LeaseWord::Holds { epoch: 9, version: 77 },
+            claim: LeaseClaim::Holds { epoch: 9, version: 77 },
             age_ms: 160,
         },
     ]
 }
 
 fn members() -> MemberList {
-    let first = MemberWord {
+    let first = MemberReport {
         rank: Rank { strength: 25, tie: 0x9E37_79B1 },
         heartbeats: v4(1),
         requests: v6(2),
         data_centre: 1,
         life: Life::Serving,
-        store: StoreSight::Answers,
+        store: StoreStatus::Reachable,
     };
-    let second = MemberWord {
+    let second = MemberReport {
         rank: Rank { strength: 400, tie: 2 },
         heartbeats: v6(5),
         requests: v4(6),
         data_centre: 0,
         life: Life::Finishing,
-        store: StoreSight::Fails,
+        store: StoreStatus::Unreachable,
     };
     MemberList {
         data_centres: vec![
@@ -246,8 +246,8 @@
     }
 }
 
-fn number() -> WordNumber {
-    WordNumber { start: 0x0011_2233_4455_6677, sequence: 1_234 }
+fn number() -> MessageNumber {
+    MessageNumber { start: 0x0011_2233_4455_6677, sequence: 1_234 }
 }
 
 fn heartbeat() -> Heartbeat {
@@ -262,26 +262,26 @@
         state: v4(2),
         catalog: 3,
         listing: 300,
-        evacuations: Some(evacuation_word()),
-        crashes: 0xfedc_ba98_7654_3210,
-        lease: Some(LeaseWord::GaveUp { epoch: 7, quiet_ms: 800 }),
-        store: StoreSight::Fails,
-        known: vec![v4(7), v6(8)],
+        evacuations: Some(evacuation_report()),
+        crash_digest: 0xfedc_ba98_7654_3210,
+        lease: Some(LeaseClaim::Released { epoch: 7, quiet_ms: 800 }),
+        store: StoreStatus::Unreachable,
+        known_addresses: vec![v4(7), v6(8)],
         loads: loads(),
         demand: demand(),
         usage: usage(),
         paces: pace_observations(),
-        seen: 41,
+        gateways_seen: 41,
         holdings: engine_holdings(),
     }
 }
 
 fn summary() -> Summary {
-    let members = MemberNews {
+    let members = MemberChanges {
         changed: members(),
-        gone: vec![v4(9), v6(10)],
+        removed: vec![v4(9), v6(10)],
         digest: 0x0123_4567_89ab_cdef,
-        is_enough: true,
+        is_sufficient: true,
     };
     Summary {
         number: number(),
@@ -290,9 +290,9 @@
         lease: lease(),
         catalog: Newest { version: 3, state: v6(11) },
         listing: Newest { version: 300, state: v4(12) },
-        evacuations: Some(evacuation_word()),
-        crashes: 0xfedc_ba98_7654_3210,
-        rulings: rulings(),
+        evacuations: Some(evacuation_report()),
+        crash_digest: 0xfedc_ba98_7654_3210,
+        throttles: throttles(),
     }
 }
 
@@ -303,7 +303,7 @@
         until: Some(v6(2)),
         members: members(),
         digest: 0x0123_4567_89ab_cdef,
-        is_enough: true,
+        is_sufficient: true,
     }
 }
 
@@ -318,11 +318,11 @@
     }
 }
 
-fn hub_news() -> HubNews {
-    HubNews {
+fn hub_update() -> HubUpdate {
+    HubUpdate {
         number: number(),
-        loads: load_news(),
-        rulings: rulings(),
+        loads: load_update(),
+        throttles: throttles(),
         paces: paces(),
     }
 }
@@ -335,8 +335,8 @@
         lease: lease(),
         catalog: Newest { version: 3, state: v6(11) },
         listing: Newest { version: 300, state: v4(12) },
-        evacuations: Some(evacuation_word()),
-        crashes: 0xfedc_ba98_7654_3210,
+        evacuations: Some(evacuation_report()),
+        crash_digest: 0xfedc_ba98_7654_3210,
         demand: demand(),
     }
 }
@@ -346,7 +346,7 @@
         instance: InstanceId::new("edge-north-1"),
         number: number(),
         data_centre: DataCentreId::new("zone-1"),
-        news: load_news(),
+        loads: load_update(),
         usage: usage(),
     }
 }
@@ -426,7 +426,7 @@
     text.parse().unwrap()
 }
 
-fn crash_words() -> CrashWords {
+fn crash_reports() -> CrashWords {
     let crash = CrashWord {
         upstream: UpstreamTag::new(0x0102_0304),
         left_ms: 590_000,
@@ -448,7 +448,7 @@
     }
 }
 
-fn limit_word() -> LimitReport {
+fn limit_report() -> LimitReport {
     LimitReport {
         start: upstream_start(2),
         number: 31,
@@ -469,35 +469,35 @@
 fn messages() -> Vec<Message> {
     vec![
         Message::Heartbeat(Box::new(heartbeat())),
-        Message::Wish(Asked { bound: bound(), variant: variant() }),
+        Message::LoadRequest(Asked { bound: bound(), variant: variant() }),
         Message::Holdings(engine_holdings()),
-        Message::Listed(listing_delta()),
+        Message::ListingChanged(listing_delta()),
         Message::Summary(Box::new(summary())),
-        Message::AskMembers,
+        Message::MembersRequest,
         Message::Members(member_part()),
         Message::Loads(load_report()),
-        Message::HubNews(hub_news()),
+        Message::HubUpdate(hub_update()),
         Message::Digest(Box::new(digest())),
         Message::GroupLoads(group_loads()),
         Message::Catalog(Box::new(catalog())),
-        Message::Evacuations(evacuation_word()),
-        Message::Crashes(crash_words()),
+        Message::Evacuations(evacuation_report()),
+        Message::Crashes(crash_reports()),
         Message::Leaving(vec![upstream_start(1), upstream_start(2)]),
-        Message::UpstreamLimits(vec![limit_word()]),
+        Message::UpstreamLimits(vec![limit_report()]),
         Message::Fragment(fragment()),
         Message::Relay(vec![0xba, 5]),
-        Message::AskRight {
-            ask: PermitRequest {
+        Message::PermitRequest {
+            request: PermitRequest {
                 upstream: UpstreamId::new("engine-2"),
                 number: 32,
             },
             is_cold: true,
-            limit: Some(limit_word()),
+            limit: Some(limit_report()),
         },
-        Message::Right {
+        Message::PermitReply {
             number: 32,
-            answer: PermitReply::Denied { retry_after_ms: 250 },
-            limit: Some(limit_word()),
+            reply: PermitReply::Denied { retry_after_ms: 250 },
+            limit: Some(limit_report()),
         },
     ]
 }
@@ -513,7 +513,7 @@
         listing: Some(Listing { version: 301, upstreams }),
         changes: Some(listing_delta()),
         evacuations: Some(evacuations()),
-        limits: vec![limit_word()],
+        limits: vec![limit_report()],
     }
 }
 
@@ -522,14 +522,14 @@
 fn recorded(message: &Message) -> &'static str {
     match message {
         Message::Heartbeat(_) => HEARTBEAT,
-        Message::Wish(_) => WISH,
+        Message::LoadRequest(_) => WISH,
         Message::Holdings(_) => HOLDINGS,
-        Message::Listed(_) => LISTED,
+        Message::ListingChanged(_) => LISTED,
         Message::Summary(_) => SUMMARY,
-        Message::AskMembers => ASK_MEMBERS,
+        Message::MembersRequest => ASK_MEMBERS,
         Message::Members(_) => MEMBERS,
         Message::Loads(_) => LOADS,
-        Message::HubNews(_) => HUB_NEWS,
+        Message::HubUpdate(_) => HUB_NEWS,
         Message::Digest(_) => DIGEST,
         Message::GroupLoads(_) => GROUP_LOADS,
         Message::Catalog(_) => CATALOG,
@@ -539,8 +539,8 @@
         Message::UpstreamLimits(_) => UPSTREAM_LIMITS,
         Message::Fragment(_) => FRAGMENT,
         Message::Relay(_) => RELAY,
-        Message::AskRight { .. } => ASK_RIGHT,
-        Message::Right { .. } => RIGHT,
+        Message::PermitRequest { .. } => ASK_RIGHT,
+        Message::PermitReply { .. } => RIGHT,
     }
 }
 
--- a/crates/valehold-gateway/tests/roster.rs
+++ b/crates/valehold-gateway/tests/roster.rs
@@ -14,10 +14,10 @@
 };
 use valehold_gateway::{
     peers::{
-        Heartbeat, Message, Roster, WordNumber,
+        Heartbeat, Message, MessageNumber, Roster,
         message::{
-            BoundDemand, Digest, Duty, GroupLoads, HubNews, LeaseWord,
-            LoadNews, LoadReport, Rank, StoreSight, Summary, UpstreamLoad,
+            BoundDemand, Digest, Duty, GroupLoads, HubUpdate, LeaseClaim,
+            LoadReport, LoadUpdate, Rank, StoreStatus, Summary, UpstreamLoad,
             VariantDemand,
         },
         roster::{
@@ -56,15 +56,15 @@
         catalog: 3,
         listing: 3,
         evacuations: None,
-        crashes: 0,
+        crash_digest: 0,
         lease: None,
-        store: StoreSight::Answers,
-        known: Vec::new(),
+        store: StoreStatus::Reachable,
+        known_addresses: Vec::new(),
         loads: Vec::new(),
         demand: Vec::new(),
         usage: Vec::new(),
         paces: Vec::new(),
-        seen: 0,
+        gateways_seen: 0,
         holdings: Vec::new(),
     }
 }
@@ -87,7 +87,7 @@
     LocalReport {
         requests: requests(number),
         life: Life::Serving,
-        store: StoreSight::Answers,
+        store: StoreStatus::Reachable,
     }
 }
 
@@ -159,7 +159,7 @@
 #[gtest]
 fn three_gateways_and_rejected_ones_observe_the_store() {
     let now = Millis::new(500);
-    let answers = StoreSight::Answers;
+    let answers = StoreStatus::Reachable;
     let role =
         |number| connected_roster(number, 8, now).observer_role(answers);
     let observes = |number: &u16| {
@@ -175,7 +175,7 @@
     expect_that!(role(1), eq(ObserverRole::ConfigurationOnly));
     // A gateway that the store rejects observes by itself.
     let rejected =
-        connected_roster(1, 8, now).observer_role(StoreSight::Fails);
+        connected_roster(1, 8, now).observer_role(StoreStatus::Unreachable);
     expect_that!(rejected, eq(ObserverRole::Primary));
     let mut alone = roster(1);
     alone.recompute(local_report(1), now);
@@ -183,7 +183,7 @@
     // An observer that the store rejects is replaced.
     let mut other = connected_roster(5, 8, now);
     let mut failing = heartbeat(8, 2);
-    failing.store = StoreSight::Fails;
+    failing.store = StoreStatus::Unreachable;
     other.on_heartbeat(address(8), failing, now);
     other.recompute(local_report(5), now);
     expect_that!(other.observer_role(answers), eq(ObserverRole::Standby));
@@ -193,7 +193,7 @@
 fn with_hubs_twelve_gateways_watch_the_configuration() {
     let now = Millis::new(500);
     let role = |number| {
-        connected_roster(number, 60, now).observer_role(StoreSight::Unknown)
+        connected_roster(number, 60, now).observer_role(StoreStatus::Unknown)
     };
     let watching = (1..=60).filter(|n| role(*n) != ObserverRole::Inactive);
     expect_that!(watching.collect::<Vec<u16>>(), eq(&Vec::from_iter(49..=60)));
@@ -211,7 +211,7 @@
     let mut own = heartbeat(40, 1);
     let load = Load { running: 2, waiting_tokens: 10 };
     own.loads.push(UpstreamLoad { upstream: tag("u1"), load });
-    own.lease = Some(LeaseWord::Holds { epoch: 7, version: 90 });
+    own.lease = Some(LeaseClaim::Holds { epoch: 7, version: 90 });
     own.catalog = 9;
     let summary = summary_of(&hub, &own, now);
     let listed = summary.members.changed.members.len();
@@ -230,7 +230,7 @@
     expect_that!(other.newer_catalog_address(9, None, now), none());
     let loads = other.loads_of_others(&Loads::new(), now);
     expect_that!(loads.get(&tag("u1")), some(eq(&load)));
-    let role = other.observer_role(StoreSight::Unknown);
+    let role = other.observer_role(StoreStatus::Unknown);
     expect_that!(role, eq(ObserverRole::Inactive));
     // Heartbeats go to the three hubs, and to seeds every few rounds.
     let targets = other.heartbeat_targets(now);
@@ -250,7 +250,7 @@
     let targets = other.heartbeat_targets(later);
     expect_that!(targets.len(), all![ge(24), le(25)]);
     expect_true!(targets.contains(&address(1)));
-    let role = other.observer_role(StoreSight::Unknown);
+    let role = other.observer_role(StoreStatus::Unknown);
     expect_that!(role, eq(ObserverRole::Primary));
 }
 
@@ -356,7 +356,7 @@
     };
     expect_that!(running(&other, now), some(eq(5)));
     let loads = vec![load_of("u1", 8)];
-    other.on_load_update(LoadNews::of_all(loads), now + 100);
+    other.on_load_update(LoadUpdate::full(loads), now + 100);
     expect_that!(running(&other, now + 100), some(eq(8)));
     other.on_summary(address(40), summary_of(&hub, &own, now), now + 200);
     expect_that!(running(&other, now + 200), some(eq(5)));
@@ -369,7 +369,7 @@
 #[gtest]
 fn only_the_highest_ranked_gateways_probe_an_unreachable_store() {
     let now = Millis::new(500);
-    let rosters = |store: StoreSight| {
+    let rosters = |store: StoreStatus| {
         let of = move |number: u16| {
             let mut roster = roster(number);
             for other in (1..=40).filter(|other| *other != number) {
@@ -387,15 +387,17 @@
         let probing = all.filter(|(roster, _)| !roster.others_probe_store());
         probing.map(|(_, number)| number).collect::<Vec<u16>>()
     };
-    expect_that!(probing(StoreSight::Fails), eq(&vec![38, 39, 40]));
+    expect_that!(probing(StoreStatus::Unreachable), eq(&vec![38, 39, 40]));
     // While the store answers other gateways, their reports suffice.
-    expect_that!(probing(StoreSight::Answers), is_empty());
+    expect_that!(probing(StoreStatus::Reachable), is_empty());
     // A gateway that knows no other gateway probes the store itself.
     expect_false!(roster(1).others_probe_store());
     // Beyond a limit, gateways that the store rejects do not call it at all.
-    let calling = rosters(StoreSight::Fails).into_iter().filter(|roster| {
-        roster.observer_role(StoreSight::Fails) != ObserverRole::Inactive
-    });
+    let calling =
+        rosters(StoreStatus::Unreachable).into_iter().filter(|roster| {
+            roster.observer_role(StoreStatus::Unreachable)
+                != ObserverRole::Inactive
+        });
     expect_that!(calling.count(), eq(24));
 }
 
@@ -459,8 +461,12 @@
 fn demand(requests: f32) -> Vec<BoundDemand> {
     let bound_demand = |bound: RegionBound, requests: f32| {
         let variant = Variant::plain("alpha");
-        let demand =
-            VariantDemand { variant, requests, busy: 0.5, running: 1 };
+        let demand = VariantDemand {
+            variant,
+            requests_per_second: requests,
+            busy_engines: 0.5,
+            running: 1,
+        };
         BoundDemand { bound, variants: vec![demand] }
     };
     let inside = bound_demand(RegionBound::within(["north"]), requests / 2.0);
@@ -471,7 +477,7 @@
     let hub = multi_zone_roster(number, now);
     let mut own = multi_zone_heartbeat(number);
     own.catalog = 9;
-    own.lease = Some(LeaseWord::Holds { epoch: 7, version: 90 });
+    own.lease = Some(LeaseClaim::Holds { epoch: 7, version: 90 });
     let demand = hub.group_demand(&demand(2.0), now);
     hub.digest(&own, demand, now)
 }
@@ -502,7 +508,8 @@
     let now = Millis::new(500);
     let sum_at = |roster: &Roster| {
         let sum = roster.sum_demand(&demand(1.0), now);
-        let of = |bound| sum[&bound][&Variant::plain("alpha")].requests;
+        let of =
+            |bound| sum[&bound][&Variant::plain("alpha")].requests_per_second;
         let all = of(RegionBound::Anywhere);
         expect_that!(of(RegionBound::within(["north"])), eq(all / 2.0));
         all
@@ -527,10 +534,10 @@
     let mut hub = multi_zone_roster(150, now);
     let group = |name: &str, running| GroupLoads {
         instance: InstanceId::new(name),
-        number: WordNumber { start: 1, sequence: 1 },
+        number: MessageNumber { start: 1, sequence: 1 },
         usage: Vec::new(),
         data_centre: DataCentreId::new(name),
-        news: LoadNews::of_all(vec![load_of("u1", running)]),
+        loads: LoadUpdate::full(vec![load_of("u1", running)]),
     };
     hub.on_load_report(report(3, 2, 1), now);
     // A direct report from a gateway of another data centre does not count,
@@ -590,7 +597,7 @@
     sums[198].load.running = 9;
     sums[197].load.running = 2;
     let update = advertised.next_update(&sums, 1);
-    let running_of = |update: &LoadNews, tag| {
+    let running_of = |update: &LoadUpdate, tag| {
         let of = update.loads.iter().rev().find(|entry| entry.upstream == tag);
         of.map(|entry| entry.load.running)
     };
@@ -613,13 +620,13 @@
         let mut advertised = AdvertisedSums::default();
         let sums = many_loads(count, 1);
         let sizes = (0..100).map(|_| {
-            let update = HubNews {
-                number: WordNumber { start: 1, sequence: 1 },
+            let update = HubUpdate {
+                number: MessageNumber { start: 1, sequence: 1 },
                 loads: advertised.next_update(&sums, 96),
-                rulings: None,
+                throttles: None,
                 paces: PaceUpdate::default(),
             };
-            Message::HubNews(update).encode().unwrap().len()
+            Message::HubUpdate(update).encode().unwrap().len()
         });
         sizes.max().unwrap()
     };
@@ -639,7 +646,7 @@
     let mut after = before.clone();
     after.drain(100..150);
     after[0].load.running = 7;
-    other.on_load_update(LoadNews::of_all(before), now);
+    other.on_load_update(LoadUpdate::full(before), now);
     while advertised.next_update(&after, 96).loads.len() > 32 {}
     for _ in 0..=300 / 32 {
         other.on_load_update(advertised.next_update(&after, 96), now);
@@ -658,7 +665,7 @@
     let mut member = connected_roster(5, 40, now);
     // A seed of another group reports the hubs of that group.
     let mut seed = heartbeat(90, 1);
-    seed.known = vec![address(91), address(92), address(39)];
+    seed.known_addresses = vec![address(91), address(92), address(39)];
     member.on_heartbeat(address(90), seed, now);
     let targets = member.heartbeat_targets(now);
     expect_true!(targets.contains(&address(91)));
@@ -741,7 +748,7 @@
         return;
     }
     match message {
-        Message::HubNews(update) => roster.on_load_update(update.loads, now),
+        Message::HubUpdate(update) => roster.on_load_update(update.loads, now),
         Message::Summary(summary) => {
             roster.on_summary(from, *summary, now);
         }
@@ -751,10 +758,10 @@
 
 fn hub_update(start: u64, sequence: u64, running: u32) -> Message {
     let loads = vec![load_of("u1", running)];
-    Message::HubNews(HubNews {
-        number: WordNumber { start, sequence },
-        loads: LoadNews::of_all(loads),
-        rulings: None,
+    Message::HubUpdate(HubUpdate {
+        number: MessageNumber { start, sequence },
+        loads: LoadUpdate::full(loads),
+        throttles: None,
         paces: PaceUpdate::default(),
     })
 }
@@ -814,7 +821,7 @@
     for number in 1..count {
         let mut heartbeat = heartbeat(number, 1);
         if number <= failing {
-            heartbeat.store = StoreSight::Fails;
+            heartbeat.store = StoreStatus::Unreachable;
         }
         hub.on_heartbeat(address(number), heartbeat, now);
     }
