--- a/crates/valehold-gateway/src/clock.rs
+++ b/crates/valehold-gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock by which this process decides.
+//! The monotonic clock of all decisions, which includes suspended time.
 
 use std::{
     future::Future,
@@ -9,18 +9,18 @@
 use rustix::time::{ClockId, clock_gettime};
 use valehold_core::Millis;
 
-/// How long a timer runs before the clock is read again. Timers stand still
-/// while the machine is suspended; this is how much later than due something
-/// may end after that, and a part of what callers take for a late answer.
-const LOOK_AGAIN: Duration = Duration::from_millis(250);
+/// How long a timer runs before the clock is read again. Timers stop while the
+/// machine is suspended, so a deadline may be missed by this much afterwards.
+/// The delay adds to the lateness that callers measure.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A clock that never goes back, and counts the time for which the machine is
-/// suspended; copies share its start.
+/// A monotonic clock that includes the time for which the machine is suspended.
+/// Copies share the same start.
 ///
-/// Others count that time too: a lease that ran out, a limit that another
-/// granted, a caller that left. A clock that stands still meanwhile, as that
-/// of timers and of [`std::time::Instant`], would have this process go on as
-/// if nothing had happened.
+/// Other processes count that time too: while this one is suspended, its lease
+/// expires, its share of a limit is granted to others and its callers leave.
+/// With a clock that stops meanwhile, such as [`std::time::Instant`] and that
+/// of timers, the process would continue as if no time had passed.
 ///
 /// # Example
 ///
@@ -34,49 +34,49 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Duration,
-    /// Time that is counted beside the machine's, in ms.
-    beside: Option<&'static AtomicU64>,
+    /// Time that is added to the machine's, in ms.
+    extra_ms: Option<&'static AtomicU64>,
 }
 
 impl Clock {
     /// Starts a clock.
     pub fn new() -> Self {
-        Self { start: since_boot(), beside: None }
+        Self { start: since_boot(), extra_ms: None }
     }
 
-    /// Starts a clock that also counts the ms in `beside`, which only grow: a
-    /// test suspends a process by adding to them.
-    pub fn with(beside: &'static AtomicU64) -> Self {
-        Self { beside: Some(beside), ..Self::new() }
+    /// Starts a clock that is ahead of the machine's by `extra_ms`, which must
+    /// never decrease. Tests add to it to simulate a suspended process.
+    pub fn with(extra_ms: &'static AtomicU64) -> Self {
+        Self { extra_ms: Some(extra_ms), ..Self::new() }
     }
 
-    /// Returns the time now.
+    /// Returns the time since the start of the clock.
     pub fn now(&self) -> Millis {
         let elapsed = since_boot().saturating_sub(self.start);
-        let beside = self.beside.map_or(0, |ms| ms.load(Ordering::SeqCst));
-        Millis::from(elapsed) + beside
+        let extra_ms = self.extra_ms.map_or(0, |ms| ms.load(Ordering::SeqCst));
+        Millis::from(elapsed) + extra_ms
     }
 
-    /// Returns how long it is until a moment; nothing if that is past.
+    /// Returns the time until a moment; zero if the moment has passed.
     pub fn until(&self, moment: Millis) -> Duration {
         Duration::from_millis(moment.since(self.now()))
     }
 
-    /// Waits for something until a moment at the longest; `None` if it has not
-    /// come by then.
+    /// Waits for a future, and returns `None` if it has not completed by the
+    /// given moment.
     pub async fn wait_until<F: Future>(
         &self,
         moment: Millis,
-        waiting: F,
+        future: F,
     ) -> Option<F::Output> {
-        let mut waiting = std::pin::pin!(waiting);
+        let mut future = std::pin::pin!(future);
         loop {
             let left = self.until(moment);
-            let span = left.min(LOOK_AGAIN);
-            let came = tokio::time::timeout(span, waiting.as_mut()).await;
-            match came {
+            let timeout = left.min(RECHECK_INTERVAL);
+            let result = tokio::time::timeout(timeout, future.as_mut()).await;
+            match result {
                 Ok(output) => return Some(output),
-                Err(_) if left <= LOOK_AGAIN => return None,
+                Err(_) if left <= RECHECK_INTERVAL => return None,
                 Err(_) => {}
             }
         }
@@ -89,9 +89,9 @@
     }
 }
 
-/// Returns the time since the machine started, suspensions included.
+/// Returns the time since the machine booted, including suspended time.
 fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
-    // It is never before the start.
+    // The conversion fails for negative times only, which do not occur.
     Duration::try_from(time).unwrap_or_default()
 }
--- a/crates/valehold-gateway/src/control/crashes.rs
+++ b/crates/valehold-gateway/src/control/crashes.rs
@@ -129,7 +129,7 @@
             Ok(named) => {
                 self.record.has_read = true;
                 self.record.forgotten.extend(done.forgotten);
-                self.shared.change_crashes(|book| book.recorded(named, now));
+                self.shared.update_crashes(|book| book.recorded(named, now));
             }
             Err(error) => {
                 log::debug!("the record of refused requests: {error}");
@@ -188,7 +188,7 @@
 
     /// Takes in what a peer tells of crashes.
     pub(super) fn hear_crashes(&self, words: &CrashWords, now: Millis) {
-        self.shared.change_crashes(|book| book.hear(words, now));
+        self.shared.update_crashes(|book| book.hear(words, now));
     }
 }
 
--- a/crates/valehold-gateway/src/control/loads.rs
+++ b/crates/valehold-gateway/src/control/loads.rs
@@ -91,7 +91,7 @@
     fn report(&mut self, now: Millis) {
         let loads = self.loads_to_tell();
         let usage = self.usage_news(now);
-        let paces = self.shared.take_seen_paces();
+        let paces = self.shared.take_pace_observations();
         let told = loads_by_upstream(&loads);
         let is_same = told == self.told_loads;
         if is_same && usage.is_empty() && paces.is_empty() {
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -92,7 +92,7 @@
         state,
     },
     settings::Settings,
-    shared::{Shared, Wishes},
+    shared::{ControlReceivers, Shared},
     view::Life,
 };
 
@@ -126,7 +126,7 @@
     /// Where peers read state.
     pub state: TcpListener,
     /// Wishes of requests that wait.
-    pub wishes: Wishes,
+    pub wishes: ControlReceivers,
     /// Whether this gateway was told to stop.
     pub stop: watch::Receiver<bool>,
     /// The newest seeds.
@@ -305,7 +305,7 @@
     async fn follow(
         mut self,
         mut taken: mpsc::UnboundedReceiver<Input>,
-        mut wishes: Wishes,
+        mut wishes: ControlReceivers,
         mut stop: watch::Receiver<bool>,
         mut new_seeds: watch::Receiver<Vec<SocketAddr>>,
     ) {
@@ -326,13 +326,13 @@
                     self.place_if_wanted();
                     self.publish_if_due();
                 }
-                Some(wish) = wishes.variants.recv() => self.wish(wish),
-                Some(ask) = wishes.rights.recv() => self.ask_right(ask),
+                Some(wish) = wishes.load_requests.recv() => self.wish(wish),
+                Some(ask) = wishes.permit_requests.recv() => self.ask_right(ask),
                 Some(start) = wishes.leaving.recv() => {
                     let now = self.now();
                     self.hear_leaving(&[start], WordSource::Answer, now);
                 }
-                Some(start) = wishes.limits.recv() => self.limit_stated(&start),
+                Some(start) = wishes.limit_changes.recv() => self.limit_stated(&start),
                 Ok(()) = stop.changed() => self.stop(),
                 Ok(()) = new_seeds.changed() => {
                     let own = self.shared.settings.peers.heartbeats;
--- a/crates/valehold-gateway/src/control/paces.rs
+++ b/crates/valehold-gateway/src/control/paces.rs
@@ -36,14 +36,14 @@
     pub(super) fn paces_to_tell(&self) -> Vec<PaceObservation> {
         match self.roster.has_hubs() {
             true => Vec::new(),
-            false => self.shared.seen_paces(),
+            false => self.shared.pace_observations(),
         }
     }
 
     /// As one that hears all others of its group, returns what is new of what
     /// was learned, and lets traffic go by it.
     pub(super) fn pace_news(&mut self, now: Millis) -> PaceUpdate {
-        let own = self.shared.take_seen_paces();
+        let own = self.shared.take_pace_observations();
         self.learn_paces(&own, now);
         self.paces.book.prune(now);
         let paces = self.paces.book.paces(now);
--- a/crates/valehold-gateway/src/control/placing.rs
+++ b/crates/valehold-gateway/src/control/placing.rs
@@ -81,7 +81,7 @@
         }
         {
             let limits = self.shared.upstream_limits();
-            self.placer.note_rests(&self.shared.rests(), &limits, now);
+            self.placer.note_rests(&self.shared.backoffs(), &limits, now);
         }
         let Sums { demand, loads, .. } = &self.sums;
         for (name, service) in &catalog.services {
--- a/crates/valehold-gateway/src/error.rs
+++ b/crates/valehold-gateway/src/error.rs
@@ -1,4 +1,4 @@
-//! The error of this crate.
+//! The error that ends a process.
 
 use std::fmt;
 
@@ -9,9 +9,9 @@
 }
 
 impl Error {
-    /// Makes an error from what was being done and what went wrong.
-    pub fn new(doing: &str, cause: impl fmt::Display) -> Self {
-        Self { message: format!("{doing}: {cause}") }
+    /// Creates an error from the action that failed and its cause.
+    pub fn new(action: &str, cause: impl fmt::Display) -> Self {
+        Self { message: format!("{action}: {cause}") }
     }
 }
 
--- a/crates/valehold-gateway/src/gateway.rs
+++ b/crates/valehold-gateway/src/gateway.rs
@@ -20,7 +20,7 @@
     error::Error,
     metrics::Metrics,
     settings::Settings,
-    shared::{Shared, Wishes},
+    shared::{ControlReceivers, Shared},
     traffic::{self, App},
 };
 
@@ -142,7 +142,7 @@
 struct ControlStart {
     shared: Arc<Shared>,
     ports: Ports,
-    wishes: Wishes,
+    wishes: ControlReceivers,
     stop: watch::Receiver<bool>,
     seeds: watch::Receiver<Vec<SocketAddr>>,
 }
--- a/crates/valehold-gateway/src/shared.rs
+++ b/crates/valehold-gateway/src/shared.rs
@@ -1,4 +1,7 @@
-//! What control and traffic have in common.
+//! The state that the control and the traffic thread share.
+//!
+//! Control publishes its decisions here for traffic to read. Traffic counts its
+//! load and demand here, and sends requests to control through bounded queues.
 
 use std::{
     collections::BTreeMap,
@@ -26,94 +29,98 @@
     view::{Life, Load, View},
 };
 
-/// How many wishes may wait for control.
-const WISHES: usize = 256;
+/// The capacity of the queue of load requests.
+const LOAD_REQUEST_CAPACITY: usize = 256;
 
-/// How many wishes for rights to send to cold upstreams may wait for control:
-/// a burst of requests, which give up on it within some ten milliseconds.
-const RIGHT_ASKS: usize = 256;
+/// The capacity of the queue of permit requests: a burst of requests, each of
+/// which waits for a permit for some ten milliseconds only.
+const PERMIT_REQUEST_CAPACITY: usize = 256;
 
-/// How many words of upstreams that leave may wait for control. One that finds
-/// no room comes again with the upstream's next answer.
-const LEAVING_WORDS: usize = 256;
+/// The capacity of the queue of leaving upstreams. One that is dropped is
+/// reported again with the upstream's next answer.
+const LEAVING_CAPACITY: usize = 256;
 
-/// How many words of upstreams' limits may wait for control. Others hear what
-/// finds no room with the upstream's next answers to them.
-const LIMIT_WORDS: usize = 256;
+/// The capacity of the queue of changed upstream limits. If one is dropped,
+/// other gateways learn the limit from the upstream's next answers to them.
+const LIMIT_CHANGE_CAPACITY: usize = 256;
 
-/// How many first events are noted between two times that control takes them:
-/// some hundred milliseconds.
-const MOST_SEEN_PACES: usize = 128;
+/// The most pace observations that are kept until control takes them, which it
+/// does every few hundred milliseconds.
+const MAX_PACE_OBSERVATIONS: usize = 128;
 
-/// The work that requests for a variant inside a bound made, since it was last taken.
+/// The demand for a variant inside a bound since control last took it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Work {
-    /// Requests that came.
+    /// The number of requests that arrived.
     pub requests: f64,
-    /// For how long they keep an engine busy, in ms.
+    /// The time for which the requests keep an engine busy, in ms.
     pub busy_ms: f64,
 }
 
-/// The ends at which control takes wishes of requests.
+/// The receiving ends of the queues from traffic to control.
 #[derive(Debug)]
-pub struct Wishes {
-    /// Variants that no engine holds.
-    pub variants: mpsc::Receiver<Asked>,
-    /// Rights to send to cold upstreams.
-    pub rights: mpsc::Receiver<PermitRequest>,
-    /// Upstreams that said that they leave.
+pub struct ControlReceivers {
+    /// Variants to load, since no engine inside the bound holds them.
+    pub load_requests: mpsc::Receiver<Asked>,
+    /// Requests for permits to send to upstreams that are cold or have stated
+    /// a limit.
+    pub permit_requests: mpsc::Receiver<PermitRequest>,
+    /// Upstreams that announced that they are leaving.
     pub leaving: mpsc::Receiver<UpstreamStart>,
-    /// Upstreams whose limit changed.
-    pub limits: mpsc::Receiver<UpstreamStart>,
+    /// Upstreams whose stated limit changed.
+    pub limit_changes: mpsc::Receiver<UpstreamStart>,
 }
 
-/// What control and traffic have in common.
+/// The state that control and traffic share.
 #[derive(Debug)]
 pub struct Shared {
-    /// The settings.
+    /// The gateway's settings.
     pub settings: Settings,
-    /// The data centres, seen from this gateway's.
+    /// The regions of data centres and their distances from this gateway.
     pub topology: Topology,
-    /// The clock.
+    /// The clock of all decisions.
     pub clock: Clock,
-    /// The instruments.
+    /// The gateway's metrics.
     pub metrics: Metrics,
-    /// The newest view; written by control.
+    /// The current view; written by control.
     pub view: ArcSwap<View>,
-    /// What other gateways have under way at each upstream; written by
-    /// control, more often than the view.
+    /// The load of the other gateways at each upstream; written by control,
+    /// more often than the view.
     pub peer_loads: ArcSwap<Loads>,
-    /// How fast engines and models are, as all gateways learned together;
-    /// written by control.
+    /// The paces of engines and models, estimated from the observations of all
+    /// gateways; written by control.
     pub paces: ArcSwap<Paces>,
     loads: Mutex<BTreeMap<UpstreamStart, Load>>,
-    seen_paces: Mutex<Vec<PaceObservation>>,
+    pace_observations: Mutex<Vec<PaceObservation>>,
     work: Mutex<BTreeMap<Asked, Work>>,
     running: Mutex<BTreeMap<Asked, u32>>,
     usage: Mutex<UsageMeter>,
     cold: Mutex<ColdPermits>,
-    rests: Mutex<Rests>,
+    backoffs: Mutex<Rests>,
     upstream_limits: Mutex<UpstreamLimits>,
     crashes: Mutex<CrashBook>,
     crash_changes: watch::Sender<u64>,
-    wishes: mpsc::Sender<Asked>,
-    right_asks: mpsc::Sender<PermitRequest>,
-    leaving_words: mpsc::Sender<UpstreamStart>,
-    limit_words: mpsc::Sender<UpstreamStart>,
+    load_requests: mpsc::Sender<Asked>,
+    permit_requests: mpsc::Sender<PermitRequest>,
+    leaving: mpsc::Sender<UpstreamStart>,
+    limit_changes: mpsc::Sender<UpstreamStart>,
     life: watch::Sender<Life>,
 }
 
 impl Shared {
-    /// Makes the shared part, and the ends at which control takes wishes.
+    /// Creates the shared state and the receivers of control's queues.
     pub fn new(
         settings: Settings,
         metrics: Metrics,
         clock: Clock,
-    ) -> (Arc<Self>, Wishes) {
-        let (wishes, variants) = mpsc::channel(WISHES);
-        let (right_asks, rights) = mpsc::channel(RIGHT_ASKS);
-        let (leaving_words, leaving) = mpsc::channel(LEAVING_WORDS);
-        let (limit_words, limits) = mpsc::channel(LIMIT_WORDS);
+    ) -> (Arc<Self>, ControlReceivers) {
+        let (load_requests, load_receiver) =
+            mpsc::channel(LOAD_REQUEST_CAPACITY);
+        let (permit_requests, permit_receiver) =
+            mpsc::channel(PERMIT_REQUEST_CAPACITY);
+        let (leaving, leaving_receiver) = mpsc::channel(LEAVING_CAPACITY);
+        let (limit_changes, limit_receiver) =
+            mpsc::channel(LIMIT_CHANGE_CAPACITY);
         let topology = Topology::new(
             settings.data_centre.clone(),
             settings.regions.clone(),
@@ -126,78 +133,91 @@
             peer_loads: ArcSwap::default(),
             paces: ArcSwap::default(),
             loads: Mutex::default(),
-            seen_paces: Mutex::default(),
+            pace_observations: Mutex::default(),
             work: Mutex::default(),
             running: Mutex::default(),
             usage: Mutex::new(UsageMeter::new(settings.limits)),
             cold: Mutex::new(ColdPermits::new(rand::random())),
-            rests: Mutex::default(),
+            backoffs: Mutex::default(),
             upstream_limits: Mutex::default(),
             crashes: Mutex::new(CrashBook::new(settings.crashes.keep_ms())),
             crash_changes: watch::Sender::new(0),
-            wishes,
-            right_asks,
-            leaving_words,
-            limit_words,
+            load_requests,
+            permit_requests,
+            leaving,
+            limit_changes,
             life: watch::Sender::new(Life::Starting),
             settings,
         };
-        (Arc::new(shared), Wishes { variants, rights, leaving, limits })
+        (
+            Arc::new(shared),
+            ControlReceivers {
+                load_requests: load_receiver,
+                permit_requests: permit_receiver,
+                leaving: leaving_receiver,
+                limit_changes: limit_receiver,
+            },
+        )
     }
 
-    /// Asks control for a variant that no engine inside its bound holds.
+    /// Requests that control has a variant loaded that no engine inside the
+    /// bound holds.
     ///
-    /// A wish that finds no room is lost; who waits wishes again.
-    pub fn wish(&self, asked: &Asked) {
-        let _ = self.wishes.try_send(asked.clone());
+    /// The request is dropped if the queue is full; a waiting caller's request
+    /// repeats it.
+    pub fn request_load(&self, variant: &Asked) {
+        let _ = self.load_requests.try_send(variant.clone());
     }
 
-    /// Asks control for the right to send to an upstream that is cold or in
-    /// need.
+    /// Requests from control a permit to send to an upstream that is cold or
+    /// has stated a limit.
     ///
-    /// A wish that finds no room is lost; who waits goes elsewhere soon.
-    pub fn ask_right(&self, ask: PermitRequest) {
-        let _ = self.right_asks.try_send(ask);
+    /// The request is dropped if the queue is full; the caller's request then
+    /// goes to another upstream after a short wait.
+    pub fn request_permit(&self, request: PermitRequest) {
+        let _ = self.permit_requests.try_send(request);
     }
 
-    /// Tells control that a start of an upstream said that it leaves.
-    pub fn say_leaving(&self, start: UpstreamStart) {
-        // One that finds no room comes again with the next answer.
-        let _ = self.leaving_words.try_send(start);
+    /// Reports to control that a start of an upstream announced that it is
+    /// leaving.
+    pub fn report_leaving(&self, start: UpstreamStart) {
+        // If the queue is full, the upstream's next answer reports it again.
+        let _ = self.leaving.try_send(start);
     }
 
-    /// Tells control that an answer said something new of an upstream's limit.
-    pub fn say_limit(&self, start: UpstreamStart) {
-        let _ = self.limit_words.try_send(start);
+    /// Reports to control that an answer changed an upstream's limit.
+    pub fn report_limit_change(&self, start: UpstreamStart) {
+        let _ = self.limit_changes.try_send(start);
     }
 
-    /// Which upstreams asked this gateway for rest.
-    pub fn rests(&self) -> MutexGuard<'_, Rests> {
-        // Each entry stands for itself: any that a panic left is valid.
-        self.rests.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Returns the backoffs that upstreams requested from this gateway.
+    pub fn backoffs(&self) -> MutexGuard<'_, Rests> {
+        // Entries are independent, so any state that a panic left is valid.
+        self.backoffs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many requests a second upstreams in need take.
+    /// Returns the request rates to which upstreams limit their callers.
     pub fn upstream_limits(&self) -> MutexGuard<'_, UpstreamLimits> {
-        // Each entry stands for itself: any that a panic left is valid.
+        // Entries are independent, so any state that a panic left is valid.
         self.upstream_limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this gateway believes of cold upstreams, and its rights.
+    /// Returns the estimate of which upstreams are cold, and the permits to
+    /// send to them.
     pub fn cold(&self) -> MutexGuard<'_, ColdPermits> {
-        // Each entry stands for itself: any that a panic left is valid.
+        // Entries are independent, so any state that a panic left is valid.
         self.cold.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this gateway knows of crashes, and of requests that cause them.
+    /// Returns the records of crashes and of the requests that cause them.
     pub fn crashes(&self) -> MutexGuard<'_, CrashBook> {
-        // Each entry stands for itself: any that a panic left is valid.
+        // Entries are independent, so any state that a panic left is valid.
         self.crashes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes what this gateway knows of crashes, and tells requests that
-    /// are under way if others than before are refused.
-    pub fn change_crashes(&self, change: impl FnOnce(&mut CrashBook)) {
+    /// Changes the records of crashes, and notifies requests in flight if the
+    /// set of refused requests changed.
+    pub fn update_crashes(&self, change: impl FnOnce(&mut CrashBook)) {
         let changes = {
             let mut book = self.crashes();
             change(&mut book);
@@ -210,60 +230,62 @@
         });
     }
 
-    /// Watches who is refused for crashes.
+    /// Returns a receiver that is notified when the set of requests that are
+    /// refused for crashes changes.
     pub fn watch_crashes(&self) -> watch::Receiver<u64> {
         self.crash_changes.subscribe()
     }
 
-    /// What this gateway has under way at each upstream.
+    /// Returns this gateway's load at each upstream.
     pub fn loads(&self) -> MutexGuard<'_, BTreeMap<UpstreamStart, Load>> {
-        // Plain numbers: any value that a panic left is a valid one.
+        // Plain numbers, so any value that a panic left is valid.
         self.loads.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The work that came since control last took it.
+    /// Returns the demand that arrived since control last took it.
     pub fn work(&self) -> MutexGuard<'_, BTreeMap<Asked, Work>> {
         self.work.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many requests for each variant this gateway has under way.
+    /// Returns the number of requests in flight for each variant.
     pub fn running(&self) -> MutexGuard<'_, BTreeMap<Asked, u32>> {
         self.running.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes what was seen of a first event.
-    pub fn note_pace(&self, seen: PaceObservation) {
-        let mut all = self.lock_seen_paces();
-        if all.len() < MOST_SEEN_PACES {
-            all.push(seen);
+    /// Records an observation of the time to a first event. It is dropped if
+    /// `MAX_PACE_OBSERVATIONS` wait already.
+    pub fn record_pace(&self, observation: PaceObservation) {
+        let mut all = self.lock_pace_observations();
+        if all.len() < MAX_PACE_OBSERVATIONS {
+            all.push(observation);
         }
     }
 
-    /// Returns what was seen of first events since it was last taken.
-    pub fn seen_paces(&self) -> Vec<PaceObservation> {
-        self.lock_seen_paces().clone()
+    /// Returns the pace observations since control last took them.
+    pub fn pace_observations(&self) -> Vec<PaceObservation> {
+        self.lock_pace_observations().clone()
     }
 
-    /// Takes what was seen of first events since it was last taken.
-    pub fn take_seen_paces(&self) -> Vec<PaceObservation> {
-        std::mem::take(&mut *self.lock_seen_paces())
+    /// Removes and returns the pace observations.
+    pub fn take_pace_observations(&self) -> Vec<PaceObservation> {
+        std::mem::take(&mut *self.lock_pace_observations())
     }
 
-    fn lock_seen_paces(&self) -> MutexGuard<'_, Vec<PaceObservation>> {
-        self.seen_paces.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_pace_observations(&self) -> MutexGuard<'_, Vec<PaceObservation>> {
+        self.pace_observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this gateway lets through of workspaces' requests.
+    /// Returns the meter that admits requests within workspaces' limits.
     pub fn usage(&self) -> MutexGuard<'_, UsageMeter> {
         self.usage.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets how far this gateway's life has come.
+    /// Sets this gateway's phase of life.
     pub fn set_life(&self, life: Life) {
         self.life.send_replace(life);
     }
 
-    /// Watches how far this gateway's life has come.
+    /// Returns a receiver that is notified when the phase of life changes.
     pub fn watch_life(&self) -> watch::Receiver<Life> {
         self.life.subscribe()
     }
--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -186,7 +186,7 @@
         return Some(PassedOverFor::Leaving);
     }
     let now = app.now();
-    if !app.shared.rests().is_awake(&one.start(), now) {
+    if !app.shared.backoffs().is_awake(&one.start(), now) {
         return Some(PassedOverFor::Resting);
     }
     let is_limited = rights::is_limited(app, one);
@@ -215,7 +215,7 @@
     app: &App,
     upstreams: Vec<&'a Arc<Upstream>>,
 ) -> Result<Vec<&'a Arc<Upstream>>, NoChoice> {
-    let (rests, now) = (app.shared.rests(), app.now());
+    let (rests, now) = (app.shared.backoffs(), app.now());
     if rests.is_empty() {
         return Ok(upstreams);
     }
--- a/crates/valehold-gateway/src/traffic/crashes.rs
+++ b/crates/valehold-gateway/src/traffic/crashes.rs
@@ -119,7 +119,7 @@
     };
     event.log();
     let now = app.now();
-    app.shared.change_crashes(|book| {
+    app.shared.update_crashes(|book| {
         book.crashed(start.tag(), under_way, now);
     });
 }
@@ -131,7 +131,7 @@
         return;
     }
     let (content, now) = (job.content(), app.now());
-    app.shared.change_crashes(|book| book.answered(content, now));
+    app.shared.update_crashes(|book| book.answered(content, now));
 }
 
 /// Returns for how much longer a request is refused because it crashes its
--- a/crates/valehold-gateway/src/traffic/exchange/waiting.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/waiting.rs
@@ -176,6 +176,6 @@
         let Some(asked) = self.job.asked() else { return };
         let view = self.app.shared.view.load();
         let bound = bound_now(&view, &self.job).into_owned();
-        self.app.shared.wish(&Asked { bound, ..asked });
+        self.app.shared.request_load(&Asked { bound, ..asked });
     }
 }
--- a/crates/valehold-gateway/src/traffic/rights.rs
+++ b/crates/valehold-gateway/src/traffic/rights.rs
@@ -29,7 +29,7 @@
         return Some(right);
     }
     let ask = app.shared.cold().permits.request(upstream, app.now());
-    app.shared.ask_right(ask);
+    app.shared.request_permit(ask);
     while Instant::now() < until {
         tokio::time::sleep(LOOK_AGAIN).await;
         if let Some(right) = take(app, upstream) {
--- a/crates/valehold-gateway/src/traffic/send.rs
+++ b/crates/valehold-gateway/src/traffic/send.rs
@@ -298,7 +298,7 @@
     };
     words::note(app, upstream, words(rest));
     if !asks_for_rest(head.status) {
-        app.shared.rests().took(&upstream.start(), app.now());
+        app.shared.backoffs().took(&upstream.start(), app.now());
     }
     let closes = head
         .headers
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -137,7 +137,7 @@
         let beside_ms = chosen.predicted_ms - chosen.reading_ms;
         let read_ms = (took_ms - beside_ms).max(1.0);
         let against_all = read_ms / chosen.reading_ms * chosen.pace;
-        self.shared.note_pace(PaceObservation {
+        self.shared.record_pace(PaceObservation {
             engine: chosen.upstream.start().tag(),
             model: model.tag(),
             ratio: LogRatio::from_ln(against_all.ln()),
@@ -182,7 +182,7 @@
         self.slot_times.borrow_mut().prune(now);
         let is_listed = |id: &UpstreamId| listing.upstreams.contains_key(id);
         self.shared.cold().prune(is_listed, now);
-        self.shared.rests().sweep(known, now);
+        self.shared.backoffs().sweep(known, now);
         self.shared.upstream_limits().prune(known);
         // Who leaves can end sooner without connections that rest.
         self.pool.sweep(|start| {
--- a/crates/valehold-gateway/src/traffic/words.rs
+++ b/crates/valehold-gateway/src/traffic/words.rs
@@ -35,7 +35,7 @@
 /// this gateway for rest: others may have been turned away since it was
 /// chosen, and after its rest one request goes first.
 pub(super) fn may_send(app: &App, upstream: &Upstream) -> bool {
-    let mut rests = app.shared.rests();
+    let mut rests = app.shared.backoffs();
     rests.is_empty() || rests.may_send(&upstream.start(), app.now())
 }
 
@@ -45,11 +45,11 @@
 pub(super) fn note(app: &App, upstream: &Upstream, words: Words) {
     let start = upstream.start();
     if words.leaving {
-        app.shared.say_leaving(start.clone());
+        app.shared.report_leaving(start.clone());
     }
     note_limit(app, &start, words);
     let Some(rest) = words.rest else { return };
-    let is_new = app.shared.rests().ask(&start, rest, app.now());
+    let is_new = app.shared.backoffs().ask(&start, rest, app.now());
     if is_new {
         app.shared.metrics.upstream_rests();
         let for_ms = Millis::from(rest).get();
@@ -65,7 +65,7 @@
         app.now(),
     );
     let Some(word) = word else { return };
-    app.shared.say_limit(start.clone());
+    app.shared.report_limit_change(start.clone());
     let source = WordSource::Answer;
     app.shared.metrics.upstream_limit(word.limit.is_none(), source);
     Event::of_limit(&word, source).log();
--- a/crates/valehold-gateway/src/view.rs
+++ b/crates/valehold-gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! What control publishes for traffic to read.
+//! The snapshot of the fleet that control publishes for traffic.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -11,37 +11,40 @@
     id::DataCentreId,
 };
 
-/// How far a gateway's life has come.
+/// A gateway's phase of life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Life {
-    /// It knows no configuration or no upstreams yet.
+    /// The gateway lacks the configuration or the list of upstreams.
     Starting,
-    /// It serves callers.
+    /// The gateway serves callers.
     Serving,
-    /// It was told to stop, and serves who still comes.
+    /// The gateway was asked to stop. It still serves new requests, since
+    /// callers use its address until their lists of addresses expire.
     Leaving,
-    /// It finishes what it has and takes nothing new.
+    /// The gateway finishes requests in flight and accepts no new ones.
     Finishing,
 }
 
-/// What a running request counts for in prompt tokens when loads are
-/// compared: it lengthens each step of its engine by about a ms, in which
-/// engines read some 40 tokens, and more for what it keeps in memory.
-const TOKENS_OF_RUNNING: u64 = 100;
+/// How many prompt tokens a running request equals when loads are compared.
+/// The request lengthens each step of its engine by about 1 ms, in which an
+/// engine reads some 40 tokens, and costs further time for the memory that it
+/// occupies.
+const TOKENS_PER_RUNNING_REQUEST: u64 = 100;
 
-/// What is under way at an upstream.
+/// The requests in flight at an upstream.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
 pub struct Load {
-    /// Requests without their whole answer.
+    /// The number of requests whose answers are incomplete.
     pub running: u32,
-    /// Prompt tokens of those without a first event.
+    /// The prompt tokens of requests that wait for their first event.
     pub waiting_tokens: u64,
 }
 
 impl Load {
-    /// Adds another load, which may be any that a peer told.
+    /// Returns the sum of two loads. The sum saturates, since a peer may
+    /// report any value.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -52,15 +55,15 @@
         }
     }
 
-    /// Returns how much another load differs, in prompt tokens: a request
-    /// that runs keeps a new one waiting about as long as so many do.
+    /// Returns the difference of two loads in prompt tokens, in which a running
+    /// request counts as the tokens that delay a new request as long.
     pub fn difference(self, other: Self) -> u64 {
         let running = self.running.abs_diff(other.running);
         let tokens = self.waiting_tokens.abs_diff(other.waiting_tokens);
-        tokens.saturating_add(u64::from(running) * TOKENS_OF_RUNNING)
+        tokens.saturating_add(u64::from(running) * TOKENS_PER_RUNNING_REQUEST)
     }
 
-    /// Takes another load away, as far as there is any.
+    /// Returns the load without another one; no part goes below 0.
     #[must_use]
     pub fn minus(self, other: Self) -> Self {
         let tokens = self.waiting_tokens;
@@ -71,35 +74,36 @@
     }
 }
 
-/// A gateway that callers may be sent to.
+/// A gateway whose address callers may be given.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadyMember {
-    /// Where it takes requests.
+    /// The address at which the gateway accepts requests.
     pub requests: SocketAddr,
-    /// The data centre that it stands in.
+    /// The gateway's data centre.
     pub data_centre: DataCentreId,
 }
 
-/// What traffic knows. It is replaced as a whole.
+/// The snapshot that traffic reads. Control replaces it as a whole.
 #[derive(Debug, Clone)]
 pub struct View {
-    /// This gateway's life.
+    /// This gateway's phase of life.
     pub life: Life,
     /// The configuration in force.
     pub catalog: Option<Arc<Catalog>>,
-    /// The upstreams.
+    /// The list of upstreams.
     pub listing: Arc<Listing>,
-    /// Which of them serve what.
+    /// The index of the upstreams by service and model.
     pub index: UpstreamIndex,
-    /// What changed of the list lately, for peers that are behind.
+    /// Recent changes of the list, for peers that have an older version.
     pub recent: Arc<RecentChanges>,
-    /// Those of them that fell off the list with the store.
+    /// Upstreams that the store lost, kept in the list for a grace period.
     pub lapsed: LapsedUpstreams,
-    /// The data centres that are to be empty, and those that were lately.
+    /// The data centres under evacuation, and those whose evacuation was
+    /// recently cancelled.
     pub evacuations: EvacuationState,
-    /// Whether some gateway is heard to hold the lease.
+    /// Whether any gateway is known to hold the placement lease.
     pub has_holder: bool,
-    /// Every gateway that is ready, this one among them.
+    /// All gateways that are ready, including this one.
     pub ready: Arc<Vec<ReadyMember>>,
 }
 
