--- a/crates/valehold-core/examples/upstream_words.rs
+++ b/crates/valehold-core/examples/upstream_words.rs
@@ -9,7 +9,8 @@
 use valehold_core::{
     Millis,
     fleet::{
-        UpstreamStart, leaving::LeavingUpstreams, rest::RestSight, rest::Rests,
+        UpstreamStart, backoff::BackoffState, backoff::UpstreamBackoffs,
+        leaving::LeavingUpstreams,
     },
     id::UpstreamId,
 };
@@ -28,21 +29,21 @@
     let now = Millis::new(1_000);
     let holders: Vec<UpstreamStart> = (0..HOLDERS).map(start).collect();
     for resting in [0, 300, 1_500] {
-        let mut rests = Rests::default();
+        let mut rests = UpstreamBackoffs::default();
         for number in 0..resting {
-            rests.ask(&start(number), Duration::from_secs(3), now);
+            rests.record(&start(number), Duration::from_secs(3), now);
         }
         let took_ns = mean_ns(|| {
             let awake = holders
                 .iter()
-                .filter(|one| rests.sight(one, now) == RestSight::Awake);
+                .filter(|one| rests.state(one, now) == BackoffState::Ready);
             black_box(awake.count());
         });
         println!("{resting} rest: {took_ns:.0} ns for {HOLDERS} holders");
     }
     let mut leaving = LeavingUpstreams::default();
     for number in 0..4_096 {
-        leaving.note(&start(number), UPSTREAMS, now);
+        leaving.record(&start(number), UPSTREAMS, now);
     }
     let took_ns = mean_ns(|| {
         black_box(leaving.contains(&start(7)));
@@ -50,14 +51,14 @@
     println!("4096 leave: {took_ns:.0} ns to look one up");
     let took_ns = mean_ns(|| {
         let mut leaving = leaving.clone();
-        black_box(leaving.note(&start(5_000), UPSTREAMS, now));
+        black_box(leaving.record(&start(5_000), UPSTREAMS, now));
     });
     println!("4096 leave: {took_ns:.0} ns to copy them and add another");
 }
 
 fn start(number: u32) -> UpstreamStart {
     let id = UpstreamId::new(format!("i-{number:010x}"));
-    UpstreamStart { id, birth: None }
+    UpstreamStart { id, started_at_ms: None }
 }
 
 fn mean_ns(mut operation: impl FnMut()) -> f64 {
--- a/crates/valehold-core/src/fleet/mod.rs
+++ b/crates/valehold-core/src/fleet/mod.rs
@@ -10,6 +10,7 @@
 
 pub mod adapters;
 pub mod asked;
+pub mod backoff;
 pub mod bound;
 pub mod catalog;
 pub mod choice;
@@ -20,7 +21,6 @@
 pub mod health;
 pub mod identity;
 pub mod index;
-pub mod known;
 pub mod lapsed;
 pub mod leaving;
 pub mod listing;
@@ -29,15 +29,15 @@
 pub mod path_cost;
 pub mod peaks;
 pub mod recent;
+pub mod registry;
+pub mod rejections;
 pub mod replicas;
-pub mod rest;
 pub mod retry_share;
 pub mod slot_time;
 pub mod store_version;
 #[cfg(test)]
 mod tests;
 pub mod topology;
-pub mod turned_away;
 pub mod upstream_limit;
 pub mod usage;
 pub mod weight_loads;
@@ -53,7 +53,7 @@
     },
     identity::UpstreamStart,
     index::UpstreamIndex,
-    known::{EngineHolding, KnownUpstreams},
     listing::{Holding, Listing, ListingDelta, Upstream, Variant},
+    registry::{EngineHolding, UpstreamRegistry},
     store_version::StoreVersion,
 };
--- a/crates/valehold-gateway/examples/fleet_costs.rs
+++ b/crates/valehold-gateway/examples/fleet_costs.rs
@@ -15,7 +15,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Holding, KnownUpstreams, Listing, ListingDelta, Upstream,
+        Holding, Listing, ListingDelta, Upstream, UpstreamRegistry,
         UpstreamStart, paces::PaceUpdate,
     },
     id::{DataCentreId, InstanceId, ModelName, ServiceName, UpstreamId},
@@ -257,10 +257,10 @@
 
     fn crash_bytes(&self) -> f64 {
         let delta = ListingDelta {
-            before: 1,
+            base_version: 1,
             version: 21,
             changed: Vec::new(),
-            gone: (0..CRASHED).map(|number| start(number).id).collect(),
+            removed: (0..CRASHED).map(|number| start(number).id).collect(),
             after_outage: false,
         };
         bytes_of(&Message::ListingChanged(delta)) as f64
@@ -295,7 +295,7 @@
     }
 
     fn change_us(&self) -> f64 {
-        let mut known = KnownUpstreams::default();
+        let mut known = UpstreamRegistry::default();
         known.replace(self.listing(), false, self.now);
         let mut version = 1;
         mean_us(|| {
@@ -306,10 +306,10 @@
                 Arc::new(upstream)
             });
             let delta = ListingDelta {
-                before: version,
+                base_version: version,
                 version: version + 1,
                 changed: changed.collect(),
-                gone: Vec::new(),
+                removed: Vec::new(),
                 after_outage: false,
             };
             version += 1;
@@ -414,11 +414,11 @@
 
 fn start(number: usize) -> UpstreamStart {
     let id = UpstreamId::new(format!("i-{number:010x}"));
-    UpstreamStart { id, birth: Some(1_700_000_000_000) }
+    UpstreamStart { id, started_at_ms: Some(1_700_000_000_000) }
 }
 
 fn upstream(number: usize) -> Upstream {
-    let UpstreamStart { id, birth } = start(number);
+    let UpstreamStart { id, started_at_ms } = start(number);
     let models = (0..MODELS_EACH)
         .map(|place| ModelName::new(format!("model-{}", number + place)));
     let models = models.map(|model| (model, Default::default())).collect();
@@ -430,7 +430,7 @@
         slots: 64,
         leaving: false,
         cold_for_ms: 0,
-        birth,
+        started_at_ms,
         holding: Holding { sequence: 0, models },
     }
 }
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -56,8 +56,8 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EvacuationState, KnownUpstreams, cold::PermitGrantor,
-        lapsed::StorePresence,
+        Asked, Catalog, EvacuationState, UpstreamRegistry,
+        cold::PermitGrantor, lapsed::StoreAvailability,
     },
     id::{DataCentreId, InstanceId},
 };
@@ -156,10 +156,10 @@
     evacuations: EvacuationState,
     /// The data centres that operators were told to be empty.
     told_evacuations: BTreeSet<DataCentreId>,
-    upstreams: KnownUpstreams,
+    upstreams: UpstreamRegistry,
     watch_orders: Rc<WatchOrders>,
     store: StoreStatus,
-    store_presence: StorePresence,
+    store_presence: StoreAvailability,
     /// How often the store came back from a copy, once it is known.
     store_era: Option<u64>,
     behind: Behind,
@@ -274,10 +274,10 @@
             catalog: None,
             evacuations: EvacuationState::default(),
             told_evacuations: BTreeSet::new(),
-            upstreams: KnownUpstreams::default(),
+            upstreams: UpstreamRegistry::default(),
             watch_orders,
             store: StoreStatus::Unknown,
-            store_presence: StorePresence::default(),
+            store_presence: StoreAvailability::default(),
             store_era: None,
             behind: Behind::new(is_seed, now),
             published: Published::default(),
@@ -354,7 +354,7 @@
             self.members_changed();
             self.hear_members(now);
         }
-        self.upstreams.pass(now);
+        self.upstreams.prune(now);
         self.let_go_of_held(&[], now);
         self.tell_evacuations(now);
         self.tell_crashes(now);
--- a/crates/valehold-gateway/src/control/store_sight.rs
+++ b/crates/valehold-gateway/src/control/store_sight.rs
@@ -54,7 +54,7 @@
         now: Millis,
     ) {
         let lasted_ms = Millis::from(lasted).get();
-        if !self.store_presence.failed(lasted_ms, now) {
+        if !self.store_presence.record_failure(lasted_ms, now) {
             return;
         }
         if self.store != StoreStatus::Unreachable {
@@ -66,7 +66,7 @@
     /// Notes the store's era, by the version of an answer: what was recorded in
     /// an earlier one may be gone.
     pub(super) fn note_era(&mut self, version: u64) {
-        let era = StoreVersion::of(version).era;
+        let era = StoreVersion::unpack(version).era;
         let before = self.store_era;
         if before.is_some_and(|before| era <= before) {
             return;
@@ -85,6 +85,6 @@
             Event::StoreBack.log();
         }
         self.store = StoreStatus::Reachable;
-        self.store_presence.heard(now);
+        self.store_presence.record_answer(now);
     }
 }
--- a/crates/valehold-gateway/src/control/upstreams.rs
+++ b/crates/valehold-gateway/src/control/upstreams.rs
@@ -12,7 +12,7 @@
 impl Control {
     /// Takes in a whole list.
     pub(super) fn list(&mut self, listing: Listing, now: Millis) {
-        let after_outage = self.store_presence.has_just_returned(now);
+        let after_outage = self.store_presence.has_just_recovered(now);
         let words = self.words_of_cold(&listing);
         let (version, known) = (listing.version, self.upstreams.version());
         if version < known {
@@ -33,9 +33,14 @@
         let Some(version) = version else { return };
         let changed = self.without_cooling(changed, now);
         let before = self.upstreams.version();
-        let after_outage = self.store_presence.has_just_returned(now);
-        let delta =
-            ListingDelta { before, version, changed, gone, after_outage };
+        let after_outage = self.store_presence.has_just_recovered(now);
+        let delta = ListingDelta {
+            base_version: before,
+            version,
+            changed,
+            removed: gone,
+            after_outage,
+        };
         if self.take_delta(&delta, now) {
             self.send_all(&Message::ListingChanged(delta));
         }
@@ -79,6 +84,6 @@
         }
         let message = Message::Holdings(news.clone());
         self.send_all(&message);
-        self.upstreams.tell(news, now);
+        self.upstreams.receive_holdings(news, now);
     }
 }
--- a/crates/valehold-gateway/src/shared.rs
+++ b/crates/valehold-gateway/src/shared.rs
@@ -12,10 +12,10 @@
 use tokio::sync::{mpsc, watch};
 use valehold_core::fleet::{
     Asked, UpstreamStart,
+    backoff::UpstreamBackoffs,
     cold::{ColdPermits, PermitRequest},
     crashes::CrashBook,
     paces::{PaceObservation, Paces},
-    rest::Rests,
     topology::Topology,
     upstream_limit::UpstreamLimits,
     usage::UsageMeter,
@@ -96,7 +96,7 @@
     running: Mutex<BTreeMap<Asked, u32>>,
     usage: Mutex<UsageMeter>,
     cold: Mutex<ColdPermits>,
-    backoffs: Mutex<Rests>,
+    backoffs: Mutex<UpstreamBackoffs>,
     upstream_limits: Mutex<UpstreamLimits>,
     crashes: Mutex<CrashBook>,
     crash_changes: watch::Sender<u64>,
@@ -191,7 +191,7 @@
     }
 
     /// Returns the backoffs that upstreams requested from this gateway.
-    pub fn backoffs(&self) -> MutexGuard<'_, Rests> {
+    pub fn backoffs(&self) -> MutexGuard<'_, UpstreamBackoffs> {
         // Entries are independent, so any state that a panic left is valid.
         self.backoffs.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -10,8 +10,8 @@
 
 use valehold_core::{
     fleet::{
-        RegionBound, Upstream, Variant, cold::PermitState, rest::RestSight,
-        upstream_limit::RequestRate,
+        RegionBound, Upstream, Variant, backoff::BackoffState,
+        cold::PermitState, upstream_limit::RequestRate,
     },
     id::UpstreamId,
 };
@@ -73,7 +73,7 @@
     view: &'a View,
     job: &'a Job,
 ) -> impl Iterator<Item = &'a Arc<Upstream>> {
-    let all = view.index.of(&job.service_name, &view.listing);
+    let all = view.index.of_service(&job.service_name, &view.listing);
     all.filter(|upstream| !upstream.leaving)
 }
 
@@ -87,12 +87,12 @@
     let of_model = variant.into_iter().flat_map(|variant| {
         let all = view.index.holding(&variant.model, &view.listing);
         all.filter(|one| {
-            one.service == job.service_name && one.holding.has(variant)
+            one.service == job.service_name && one.holding.can_run(variant)
         })
     });
     let of_service = match variant {
         Some(_) => None,
-        None => Some(view.index.of(&job.service_name, &view.listing)),
+        None => Some(view.index.of_service(&job.service_name, &view.listing)),
     };
     of_model.chain(of_service.into_iter().flatten())
 }
@@ -186,7 +186,7 @@
         return Some(PassedOverFor::Leaving);
     }
     let now = app.now();
-    if !app.shared.backoffs().is_awake(&one.start(), now) {
+    if !app.shared.backoffs().is_ready(&one.start(), now) {
         return Some(PassedOverFor::Resting);
     }
     let is_limited = rights::is_limited(app, one);
@@ -222,9 +222,9 @@
     let mut awake = Vec::new();
     let mut soonest_ms: Option<u64> = None;
     for upstream in upstreams {
-        match rests.sight(&upstream.start(), now) {
-            RestSight::Awake => awake.push(upstream),
-            RestSight::Resting { left_ms } => {
+        match rests.state(&upstream.start(), now) {
+            BackoffState::Ready => awake.push(upstream),
+            BackoffState::BackingOff { remaining_ms: left_ms } => {
                 let soonest = soonest_ms.map_or(left_ms, |s| s.min(left_ms));
                 soonest_ms = Some(soonest);
             }
--- a/crates/valehold-gateway/tests/recorded_bytes.rs
+++ b/crates/valehold-gateway/tests/recorded_bytes.rs
@@ -68,7 +68,7 @@
 fn upstream_start(number: u64) -> UpstreamStart {
     UpstreamStart {
         id: UpstreamId::new(format!("engine-{number}")),
-        birth: Some(1_700_000_000_000 + number),
+        started_at_ms: Some(1_700_000_000_000 + number),
     }
 }
 
@@ -93,13 +93,18 @@
 }
 
 fn engine_holdings() -> Vec<EngineHolding> {
-    let UpstreamStart { id, birth } = upstream_start(1);
+    let UpstreamStart { id, started_at_ms } = upstream_start(1);
     let stamp = Stamp { epoch: 22, sequence: 23 };
-    vec![EngineHolding { engine: id, birth, holding: holding(), stamp }]
+    vec![EngineHolding {
+        engine: id,
+        started_at_ms,
+        holding: holding(),
+        stamp,
+    }]
 }
 
 fn upstream(number: u64) -> Upstream {
-    let UpstreamStart { id, birth } = upstream_start(number);
+    let UpstreamStart { id, started_at_ms } = upstream_start(number);
     Upstream {
         id,
         service: ServiceName::new("engines"),
@@ -108,17 +113,17 @@
         slots: 64,
         leaving: true,
         cold_for_ms: 30_000,
-        birth,
+        started_at_ms,
         holding: holding(),
     }
 }
 
 fn listing_delta() -> ListingDelta {
     ListingDelta {
-        before: 300,
+        base_version: 300,
         version: 301,
         changed: vec![Arc::new(upstream(1)), Arc::new(upstream(2))],
-        gone: vec![UpstreamId::new("engine-3")],
+        removed: vec![UpstreamId::new("engine-3")],
         after_outage: true,
     }
 }
