--- a/crates/valehold-gateway/src/control/telling.rs
+++ b/crates/valehold-gateway/src/control/telling.rs
@@ -250,7 +250,7 @@
         let Datagram { to, bytes, label } = datagram;
         match self.socket.try_send_to(bytes, *to) {
             Ok(_) => {
-                self.shared.metrics.told_peers(label, bytes.len() as u64);
+                self.shared.metrics.sent_to_peer(label, bytes.len() as u64);
                 SendOutcome::Accepted
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
--- a/crates/valehold-gateway/src/gateway.rs
+++ b/crates/valehold-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One running gateway.
+//! The start, the threads and the stop of a gateway.
 
 use std::{
     net::SocketAddr,
@@ -24,14 +24,14 @@
     traffic::{self, App},
 };
 
-/// The outside, through its ports.
+/// The ports through which a gateway reaches the outside.
 #[derive(Clone)]
 pub struct Ports {
     /// The platform's store.
     pub store: Arc<dyn FleetStore>,
-    /// Engines.
+    /// The model engines.
     pub engines: Arc<dyn FleetEngines>,
-    /// How requests and answers are written.
+    /// The format of requests and answers.
     pub dialect: Arc<dyn Dialect>,
 }
 
@@ -44,16 +44,16 @@
 }
 
 impl Gateway {
-    /// Starts a gateway, on one thread for control and one for traffic.
+    /// Starts a gateway with a control thread and a traffic thread.
     ///
     /// # Errors
     ///
-    /// If a chart does not hold, or an address cannot be had.
+    /// If a state chart is invalid or an address cannot be bound.
     pub fn start(settings: Settings, ports: Ports) -> Result<Self, Error> {
         Self::start_with(settings, ports, Clock::new())
     }
 
-    /// Starts a gateway that decides by a clock of the caller's.
+    /// Starts a gateway with the given clock.
     ///
     /// # Errors
     ///
@@ -65,42 +65,43 @@
     ) -> Result<Self, Error> {
         library::check_all().map_err(|e| Error::new("reading charts", e))?;
         let metrics = Metrics::try_new()?;
-        let (shared, wishes) = Shared::new(settings, metrics, clock);
+        let (shared, receivers) = Shared::new(settings, metrics, clock);
         let (stop, stopping) = watch::channel(false);
         let (seeds, new_seeds) = watch::channel(Vec::new());
-        let control = ControlStart {
+        let control = ControlThread {
             shared: shared.clone(),
             ports: ports.clone(),
-            wishes,
+            receivers,
             stop: stopping,
             seeds: new_seeds,
         };
         let (started, starting) = std_mpsc::channel();
         spawn("control", move || control.run(started))?;
-        wait(starting)?;
+        wait_for_start(starting)?;
         let (started, starting) = std_mpsc::channel();
         let dialect = ports.dialect;
         let traffic =
             spawn("traffic", move || run_traffic(shared, dialect, started))?;
-        wait(starting)?;
+        wait_for_start(starting)?;
         Ok(Self { stop, seeds, traffic })
     }
 
-    /// Asks it to stop; it finishes what it has first.
+    /// Requests an orderly shutdown: the gateway finishes requests in flight
+    /// before it stops.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
 
-    /// Takes other seeds.
+    /// Replaces the state addresses of other gateways.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.seeds.send_replace(seeds);
     }
 
-    /// Waits until it has stopped.
+    /// Waits until the gateway has stopped.
     ///
     /// # Errors
     ///
-    /// If its traffic thread panicked.
+    /// If the traffic thread panicked.
     pub fn join(self) -> Result<(), Error> {
         self.traffic
             .join()
@@ -108,10 +109,12 @@
     }
 }
 
-type Started = std_mpsc::Sender<Result<(), Error>>;
+type StartSender = std_mpsc::Sender<Result<(), Error>>;
 
-/// Waits until a thread has started, or says why not.
-fn wait(starting: std_mpsc::Receiver<Result<(), Error>>) -> Result<(), Error> {
+/// Waits until a thread has started, and returns its error if it has failed.
+fn wait_for_start(
+    starting: std_mpsc::Receiver<Result<(), Error>>,
+) -> Result<(), Error> {
     starting.recv().map_err(|e| Error::new("starting", e))?
 }
 
@@ -125,7 +128,7 @@
         .map_err(|e| Error::new("starting a thread", e))
 }
 
-/// Runs a task on a runtime of this thread alone.
+/// Runs a task to completion on a single-threaded runtime.
 fn block_on<F: Future<Output = ()>>(
     task: impl FnOnce() -> F,
 ) -> Result<(), Error> {
@@ -138,23 +141,23 @@
     Ok(())
 }
 
-/// What the control thread is started with.
-struct ControlStart {
+/// The arguments of the control thread.
+struct ControlThread {
     shared: Arc<Shared>,
     ports: Ports,
-    wishes: ControlReceivers,
+    receivers: ControlReceivers,
     stop: watch::Receiver<bool>,
     seeds: watch::Receiver<Vec<SocketAddr>>,
 }
 
-impl ControlStart {
-    fn run(self, started: Started) {
+impl ControlThread {
+    fn run(self, started: StartSender) {
         let run = || async move {
             let peers = &self.shared.settings.peers;
             let bound = async {
                 let heartbeats = UdpSocket::bind(peers.heartbeats)
                     .await
-                    .map_err(|e| listening(peers.heartbeats, e))?;
+                    .map_err(|e| bind_error(peers.heartbeats, e))?;
                 Ok::<_, Error>((heartbeats, bind(peers.state).await?))
             };
             let (heartbeats, state) = match bound.await {
@@ -171,7 +174,7 @@
                 engines: self.ports.engines,
                 heartbeats,
                 state,
-                wishes: self.wishes,
+                wishes: self.receivers,
                 stop: self.stop,
                 seeds: self.seeds,
             })
@@ -186,25 +189,25 @@
 fn run_traffic(
     shared: Arc<Shared>,
     dialect: Arc<dyn Dialect>,
-    started: Started,
+    started: StartSender,
 ) {
     let run = || async move {
-        let doors = match open_doors(&shared.settings).await {
-            Ok(doors) => doors,
+        let listeners = match bind_listeners(&shared.settings).await {
+            Ok(listeners) => listeners,
             Err(error) => {
                 let _ = started.send(Err(error));
                 return;
             }
         };
         let _ = started.send(Ok(()));
-        traffic::serve(App::new(shared, dialect), doors).await;
+        traffic::serve(App::new(shared, dialect), listeners).await;
     };
     if let Err(error) = block_on(run) {
         log::error!("{error}");
     }
 }
 
-async fn open_doors(settings: &Settings) -> Result<traffic::Doors, Error> {
+async fn bind_listeners(settings: &Settings) -> Result<traffic::Doors, Error> {
     let callers = &settings.callers;
     let metrics = match callers.metrics {
         Some(address) => Some(bind(address).await?),
@@ -219,9 +222,9 @@
 }
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
-    TcpListener::bind(address).await.map_err(|e| listening(address, e))
+    TcpListener::bind(address).await.map_err(|e| bind_error(address, e))
 }
 
-fn listening(address: SocketAddr, error: std::io::Error) -> Error {
+fn bind_error(address: SocketAddr, error: std::io::Error) -> Error {
     Error::new(&format!("listening on {address}"), error)
 }
--- a/crates/valehold-gateway/src/lib.rs
+++ b/crates/valehold-gateway/src/lib.rs
@@ -1,16 +1,19 @@
-//! One traffic engine behind declared routes, and the control beside it.
+//! The gateway: it forwards callers' requests along declared routes and places
+//! models on engines.
 //!
-//! A gateway takes callers' requests, finds the route and the upstream for
-//! each, and passes whole answers back. All gateways of a deployment are
-//! alike: each watches the configuration and the upstreams in the platform's
-//! store, tells the others by heartbeats what it sends where, and can hold
-//! the lease under which models are placed.
+//! A gateway accepts requests, selects a route and an upstream for each, and
+//! returns complete answers. All gateways of a deployment are equal: each
+//! watches the configuration and the upstreams in the platform's store, reports
+//! its load to the others by heartbeats, and can hold the lease under which
+//! models are placed.
 //!
-//! - [`traffic`] runs on a thread of its own: `face`, `choose`, `send` and
-//!   `answer` are the steps of a request.
-//! - [`control`] runs on another: feeds, peers, lease and placement.
+//! - [`traffic`] runs on one thread and handles requests in the steps `face`,
+//!   `choose`, `send` and `answer`.
+//! - [`control`] runs on another thread and handles feeds, peers, the lease and
+//!   placement.
 //!
-//! The platform is met through the ports in `valehold_ports::port::fleet`.
+//! The ports in `valehold_ports::port::fleet` connect the gateway to the
+//! platform.
 
 mod clock;
 pub mod control;
--- a/crates/valehold-gateway/src/mechanisms.rs
+++ b/crates/valehold-gateway/src/mechanisms.rs
@@ -1,42 +1,44 @@
-//! Switches for the mechanisms by which a gateway decides.
+//! Switches for the mechanisms of a gateway's decisions.
 //!
-//! Each is on unless the settings say otherwise. They are there to measure
-//! what a mechanism is worth: a deployment is played with one of them off,
-//! and compared with the same deployment with all of them on. No switch
-//! weakens a promise; only the quality of decisions depends on them.
+//! The switches serve to measure the benefit of a mechanism: a simulation of a
+//! deployment runs with the mechanism off and is compared with a run with all
+//! mechanisms on. The switches affect the quality of decisions only; every
+//! guarantee holds with each of them off.
 
 use serde::Deserialize;
 
-/// Which mechanisms a gateway uses.
+/// The mechanisms that a gateway uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MechanismSettings {
-    /// Models are loaded where an engine keeps a copy of their weights,
-    /// before any is loaded from the weight store.
+    /// Loads models on engines with a local copy of the weights first, before
+    /// any model is loaded from the weight store.
     pub copies_first: bool,
-    /// Replicas are not taken from models that were busy lately.
+    /// Keeps the replicas of models that were recently busy.
     pub busy_models_kept: bool,
-    /// What is under way is told to peers between heartbeats.
+    /// Reports loads to peers between heartbeats.
     pub loads_between_heartbeats: bool,
-    /// Requests are sent to another upstream after a failure.
+    /// Retries failed requests at another upstream.
     pub second_sends: bool,
-    /// Requests with the same beginning meet at one engine, and what engines
-    /// have cached counts in their choice.
+    /// Routes requests with the same prefix to the same engine, and considers
+    /// the cached prefixes of engines in the choice.
     pub prefix_affinity: bool,
-    /// Long prompts go where few answers run that would pause too long.
+    /// Routes long prompts to engines on which they delay few running answers
+    /// beyond the allowed pause.
     pub pauses_spared: bool,
-    /// Requests whose answer is predicted to begin too late are refused.
+    /// Refuses requests whose answers are predicted to begin too late.
     pub admission_by_prediction: bool,
-    /// Free places are filled with adapters before they are asked for.
+    /// Loads adapters into free places before requests need them.
     pub adapters_ahead: bool,
-    /// For how long requests keep their slots is learned by model.
+    /// Learns for each model how long requests occupy a slot.
     pub learned_slot_times: bool,
-    /// How fast engines are is learned from their answers.
+    /// Learns the pace of engines from their answers.
     pub learned_pace: bool,
-    /// How fast engines and models are is learned by all gateways together;
-    /// otherwise each learns alone, of engines only.
+    /// Shares the learned paces of engines and models between all gateways;
+    /// otherwise each gateway learns the paces of engines on its own.
     pub paces_told: bool,
-    /// Gateways that the store fails leave looking for it to others.
+    /// Lets a gateway that does not reach the store leave the probing to other
+    /// gateways.
     pub store_looked_after: bool,
 }
 
--- a/crates/valehold-gateway/src/metrics.rs
+++ b/crates/valehold-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a gateway counts. `docs/METRICS.md` lists it all.
+//! The metrics of a gateway, all of which `docs/METRICS.md` lists.
 
 use std::{
     collections::BTreeSet,
@@ -18,21 +18,21 @@
 
 use crate::{error::Error, events::WordSource};
 
-/// Where instruments are made, and read as text.
+/// A registry that creates instruments and exports their values as text.
 #[derive(Debug, Clone)]
 pub struct Instruments {
     registry: Registry,
     _provider: SdkMeterProvider,
-    /// Makes instruments of other kinds.
+    /// The meter that creates instruments of other kinds.
     pub meter: Meter,
 }
 
 impl Instruments {
-    /// Sets the exporter up.
+    /// Creates a registry with a Prometheus exporter.
     ///
     /// # Errors
     ///
-    /// If it cannot be.
+    /// If the exporter cannot be set up.
     pub fn try_new() -> Result<Self, Error> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -45,22 +45,22 @@
         Ok(Self { registry, _provider: provider, meter })
     }
 
-    /// Makes a counter.
+    /// Creates a counter.
     pub fn counter(
         &self,
         name: &'static str,
-        about: &'static str,
+        description: &'static str,
     ) -> Counter<u64> {
-        self.meter.u64_counter(name).with_description(about).build()
+        self.meter.u64_counter(name).with_description(description).build()
     }
 
-    /// Makes a gauge.
+    /// Creates a gauge.
     pub fn gauge(
         &self,
         name: &'static str,
-        about: &'static str,
+        description: &'static str,
     ) -> Gauge<u64> {
-        self.meter.u64_gauge(name).with_description(about).build()
+        self.meter.u64_gauge(name).with_description(description).build()
     }
 
     /// Returns all metrics in the Prometheus text format.
@@ -74,11 +74,11 @@
     }
 }
 
-/// How many workspaces are counted by their names where limits are used up:
-/// each is a series of its own where metrics are kept.
-const MOST_LIMITED_WORKSPACES: usize = 64;
+/// The most workspaces that get a label of their own when their limits are
+/// exceeded. Each label is a time series of its own in the metrics' store.
+const MAX_LABELLED_WORKSPACES: usize = 64;
 
-/// The label of all others.
+/// The label of all further workspaces.
 const OTHER_WORKSPACES: &str = "other";
 
 /// The instruments of one gateway.
@@ -91,11 +91,11 @@
     orders: Counter<u64>,
     reserved_headers: Counter<u64>,
     limited: Counter<u64>,
-    limited_workspaces: Arc<Mutex<BTreeSet<WorkspaceId>>>,
+    labelled_workspaces: Arc<Mutex<BTreeSet<WorkspaceId>>>,
     store_calls: Counter<u64>,
     store_failures: Counter<u64>,
     leaving: Counter<u64>,
-    rests: Counter<u64>,
+    backoffs: Counter<u64>,
     upstream_limits: Counter<u64>,
     peer_bytes: Counter<u64>,
     peer_drops: Counter<u64>,
@@ -108,15 +108,16 @@
 }
 
 impl Metrics {
-    /// Makes the instruments.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
     /// If the exporter cannot be set up.
     pub fn try_new() -> Result<Self, Error> {
         let instruments = Instruments::try_new()?;
-        let counter = |name, about| instruments.counter(name, about);
-        let gauge = |name, about| instruments.gauge(name, about);
+        let counter =
+            |name, description| instruments.counter(name, description);
+        let gauge = |name, description| instruments.gauge(name, description);
         Ok(Self {
             refusals: counter("valehold_refusals", "Requests refused."),
             retries: counter("valehold_retries", "Sends after another."),
@@ -130,7 +131,7 @@
                 "valehold_limited",
                 "Requests refused since their workspace's limit is used up.",
             ),
-            limited_workspaces: Arc::default(),
+            labelled_workspaces: Arc::default(),
             store_calls: counter(
                 "valehold_store_calls",
                 "Calls to the platform's store.",
@@ -143,7 +144,7 @@
                 "valehold_upstreams_leaving",
                 "Upstreams that said in an answer that they leave.",
             ),
-            rests: counter(
+            backoffs: counter(
                 "valehold_upstream_rests",
                 "Rests that upstreams asked this gateway for.",
             ),
@@ -186,7 +187,7 @@
         self.refusals.add(1, &[KeyValue::new("reason", reason.code())]);
     }
 
-    /// Counts a send after another.
+    /// Counts a retry.
     pub fn retried(&self, reason: RetryReason) {
         self.retries.add(1, &[KeyValue::new("reason", reason.code())]);
     }
@@ -196,25 +197,26 @@
         self.requests.add(1, &[]);
     }
 
-    /// Counts a caller's header that only a gateway may set.
+    /// Counts a removed header that only a gateway may set.
     pub fn reserved_header_removed(&self, name: &str) {
         let name = KeyValue::new("header", name.to_owned());
         self.reserved_headers.add(1, &[name]);
     }
 
-    /// Counts a request that was refused for its workspace's limit.
+    /// Counts a request that was refused because of its workspace's limit.
     ///
-    /// Only the first of many workspaces are counted by their names.
+    /// The first `MAX_LABELLED_WORKSPACES` workspaces are counted by name, the
+    /// others together.
     pub fn limited(&self, workspace: &WorkspaceId) {
-        // A set that a panic left is a valid one.
-        let mut counted = self
-            .limited_workspaces
+        // Any set that a panic left is valid.
+        let mut labelled = self
+            .labelled_workspaces
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if counted.len() < MOST_LIMITED_WORKSPACES {
-            counted.insert(workspace.clone());
+        if labelled.len() < MAX_LABELLED_WORKSPACES {
+            labelled.insert(workspace.clone());
         }
-        let label = match counted.contains(workspace) {
+        let label = match labelled.contains(workspace) {
             true => workspace.to_string(),
             false => OTHER_WORKSPACES.to_owned(),
         };
@@ -231,17 +233,17 @@
         self.store_failures.add(1, &[KeyValue::new("call", call)]);
     }
 
-    /// Counts an upstream that said in an answer that it leaves.
+    /// Counts an upstream that announced that it is leaving.
     pub fn upstream_leaving(&self, source: WordSource) {
         self.leaving.add(1, &[KeyValue::new("source", source.label())]);
     }
 
-    /// Counts a rest that an upstream asked for.
-    pub fn upstream_rests(&self) {
-        self.rests.add(1, &[]);
+    /// Counts a backoff that an upstream requested.
+    pub fn upstream_backoff(&self) {
+        self.backoffs.add(1, &[]);
     }
 
-    /// Counts a limit that an upstream named, or that was over.
+    /// Counts a limit that an upstream stated or lifted.
     pub fn upstream_limit(&self, is_over: bool, source: WordSource) {
         let change = if is_over { "over" } else { "named" };
         let change = KeyValue::new("change", change);
@@ -249,45 +251,45 @@
             .add(1, &[change, KeyValue::new("source", source.label())]);
     }
 
-    /// Counts the bytes of a message that was sent to other gateways.
-    pub fn told_peers(&self, message: &'static str, bytes: u64) {
+    /// Counts the bytes of a message that was sent to another gateway.
+    pub fn sent_to_peer(&self, message: &'static str, bytes: u64) {
         let message = KeyValue::new("message", message);
         self.peer_bytes.add(bytes, &[message]);
     }
 
-    /// Counts datagrams of a message that could not be sent.
+    /// Counts datagrams of a message that were dropped before they were sent.
     pub fn dropped_datagrams(&self, message: &'static str, count: u64) {
         let message = KeyValue::new("message", message);
         self.peer_drops.add(count, &[message]);
     }
 
-    /// Counts an order.
+    /// Counts an order to an engine by its outcome.
     pub fn ordered(&self, outcome: &'static str) {
         self.orders.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Notes which configuration is in force.
+    /// Records the version of the configuration in force.
     pub fn catalog(&self, version: u64) {
         self.catalog.record(version, &[]);
     }
 
-    /// Notes how often the store came back from a copy.
+    /// Records how often the store was restored from a backup.
     pub fn store_era(&self, era: u64) {
         self.store_era.record(era, &[]);
     }
 
-    /// Notes in how many data centres upstreams get nothing.
+    /// Records the number of evacuated data centres.
     pub fn evacuated(&self, data_centres: usize) {
         let count = u64::try_from(data_centres).unwrap_or(u64::MAX);
         self.evacuated.record(count, &[]);
     }
 
-    /// Notes whether this gateway holds the lease.
+    /// Records whether this gateway holds the placement lease.
     pub fn holds_lease(&self, holds: bool) {
         self.holds_lease.record(u64::from(holds), &[]);
     }
 
-    /// Notes how many loads from the weight store count, and how many may.
+    /// Records the number of counted loads from the weight store and its limit.
     pub fn weight_loads(&self, counted: usize, allowed: usize) {
         let number = |count| u64::try_from(count).unwrap_or(u64::MAX);
         self.weight_loads.record(number(counted), &[]);
--- a/crates/valehold-gateway/src/peers/state.rs
+++ b/crates/valehold-gateway/src/peers/state.rs
@@ -1,9 +1,10 @@
-//! Reading a peer's configuration, orders to empty data centres and list of
-//! upstreams.
+//! The transfer of state between gateways: the configuration, evacuation orders
+//! and the list of upstreams.
 //!
-//! A reader says which versions it has and is given what is newer. Many may
-//! read at once, after all gateways were started: a gateway answers a few at
-//! a time and turns the others away, who then read from one another.
+//! A reader sends the versions that it has and receives newer ones. After a
+//! start of all gateways many of them read at once. A gateway therefore limits
+//! the number of concurrent readers and rejects the others, which then read
+//! from the gateways that have been served.
 
 use std::{
     cell::{Cell, RefCell},
@@ -34,52 +35,55 @@
 use super::message::{FORMAT, check_format};
 use crate::shared::Shared;
 
-/// The path under which a gateway gives its state to peers.
+/// The path at which peers read a gateway's state.
 const STATE_PATH: &str = "/state";
 
-/// How long a peer may take to connect.
-const CONNECT: Duration = Duration::from_millis(300);
+/// How long connecting to a peer may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a peer may take to answer.
-const ANSWER: Duration = Duration::from_millis(800);
+/// How long a peer may take to begin its response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long the next part of its state may take. A peer that freezes in the
-/// middle of it would otherwise be waited for for five seconds, while others
-/// have it; a state of 450 KB over a link full of readers takes seconds, but
-/// its parts keep coming.
-const PART: Duration = Duration::from_millis(700);
+/// How long the next part of a response's body may take. Without this limit a
+/// reader would wait five seconds for a peer that freezes during the response,
+/// although other peers have the state. A limit for the whole response would
+/// not do: a state of 450 KB takes seconds over a link shared by many readers,
+/// but its parts arrive steadily.
+const BODY_PART_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long a peer's connection may rest.
-const REST: Duration = Duration::from_secs(5);
+/// How long a reader's connection may stay idle or take to send a header.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How many connections of readers a gateway has at the least.
-const LEAST_READERS: usize = 4;
+/// The number of concurrent readers that a gateway serves at least, however
+/// slow its link is.
+const MIN_READERS: usize = 4;
 
-/// Within how many ms as many whole states can be sent as there may be
-/// readers: a reader waits for 800 ms, and shares the link with callers.
-const ALL_READ_WITHIN_MS: f64 = 200.0;
+/// The time in which the link can send a full state to every concurrent
+/// reader, in ms. A reader waits for 800 ms at most, and the link also carries
+/// the traffic of callers.
+const ALL_READERS_SERVED_MS: f64 = 200.0;
 
-/// The size of a whole state, in bytes, of which readers are reckoned until one
-/// was written.
-const FIRST_STATE_BYTES: usize = 64_000;
+/// The assumed size of a full state until one has been encoded, in bytes.
+const INITIAL_STATE_BYTES: usize = 64_000;
 
 /// The versions of a configuration and a list of upstreams.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StateVersions {
-    /// The configuration's version; 0 if there is none.
+    /// The version of the configuration; 0 if there is none.
     pub catalog: u64,
-    /// The list's version; 0 if there is none.
+    /// The version of the list of upstreams; 0 if there is none.
     pub listing: u64,
 }
 
 impl StateVersions {
-    /// Returns the path at which newer ones are read.
+    /// Returns the path and query that request newer versions.
     fn path(self) -> String {
         let Self { catalog, listing } = self;
         format!("{STATE_PATH}?catalog={catalog}&listing={listing}")
     }
 
-    /// Reads them from a request's query; what is missing is 0.
+    /// Parses the versions of a request's query; a missing or malformed
+    /// version is 0.
     fn from_query(query: &str) -> Self {
         let mut versions = Self::default();
         for part in query.split('&') {
@@ -97,38 +101,39 @@
     }
 }
 
-/// What a gateway has that is newer than what a reader has.
+/// The part of a gateway's state that is newer than that of a reader.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerState {
-    /// The configuration.
+    /// The configuration, if it is newer.
     pub catalog: Option<Catalog>,
-    /// The upstreams, if the reader has none or is far behind.
+    /// The full list of upstreams, if the reader has none or the changes since
+    /// its version are no longer kept.
     pub listing: Option<Listing>,
-    /// Otherwise what changed of them.
+    /// Otherwise the changes of the list since the reader's version.
     pub changes: Option<ListingDelta>,
-    /// The orders to empty data centres, whatever the reader has: they are
+    /// The evacuation orders, regardless of the reader's state, since they are
     /// few.
     pub evacuations: Option<Evacuations>,
-    /// How many requests upstreams in need take, whatever the reader has.
+    /// The limits that upstreams have stated, regardless of the reader's state.
     pub limits: Vec<LimitReport>,
 }
 
 impl PeerState {
-    /// Writes it, with the number of its format before it.
+    /// Encodes the state after the number of the format.
     ///
     /// # Errors
     ///
-    /// If it cannot be written.
+    /// If the state cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, PortError> {
         postcard::to_extend(self, vec![FORMAT])
             .map_err(|e| PortError::malformed(e.to_string()))
     }
 
-    /// Reads it.
+    /// Decodes a state.
     ///
     /// # Errors
     ///
-    /// If it is of another format, or none at all.
+    /// If the bytes have another format or are malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, PortError> {
         let rest = check_format(bytes)
             .map_err(|e| PortError::malformed(e.to_string()))?;
@@ -137,35 +142,36 @@
     }
 }
 
-/// Reads peers' states.
+/// Reads the states of peers.
 #[derive(Debug, Clone)]
 pub struct StateClient {
     client: HttpClient,
 }
 
 impl StateClient {
-    /// Makes a client.
+    /// Creates a client.
     pub fn new() -> Self {
         let settings = ClientSettings {
-            connect_timeout: CONNECT,
-            answer_timeout: ANSWER,
-            part_timeout: PART,
+            connect_timeout: CONNECT_TIMEOUT,
+            answer_timeout: RESPONSE_TIMEOUT,
+            part_timeout: BODY_PART_TIMEOUT,
             ..ClientSettings::default()
         };
         Self { client: HttpClient::new(settings, Connections::OneEach) }
     }
 
-    /// Reads what a peer has that is newer.
+    /// Reads the part of a peer's state that is newer than the given versions.
     ///
     /// # Errors
     ///
-    /// If it does not answer in time, or not with its state.
+    /// If the peer does not respond in time, rejects the request or sends no
+    /// valid state.
     pub async fn read(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         known: StateVersions,
     ) -> Result<PeerState, PortError> {
-        let request = bare("GET", uri(at, &known.path())?)?;
+        let request = bare("GET", uri(address, &known.path())?)?;
         let answer = self.client.whole(request).await?;
         check_status(answer.status())?;
         PeerState::decode(answer.body())
@@ -178,7 +184,7 @@
     }
 }
 
-/// Gives this gateway's state to peers until it ends.
+/// Serves this gateway's state to peers, forever.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     let server = Rc::new(StateServer::new(shared));
     loop {
@@ -190,19 +196,19 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(REST)
+            .header_read_timeout(IDLE_TIMEOUT)
             .serve_connection(TokioIo::new(stream), answering);
         tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!("a peer's connection ended: {error}");
+                log::debug!("peer connection failed: {error}");
             }
         });
     }
 }
 
-/// A whole state that was written, and what it was written of.
+/// An encoded full state and the values that it was encoded from.
 #[derive(Debug)]
-struct Written {
+struct EncodedState {
     catalog: Option<Arc<Catalog>>,
     listing: Arc<Listing>,
     evacuations: Option<Evacuations>,
@@ -210,31 +216,31 @@
     bytes: Bytes,
 }
 
-/// Gives this gateway's state to readers.
+/// Serves this gateway's state to readers.
 #[derive(Debug)]
 struct StateServer {
     shared: Arc<Shared>,
     readers: Cell<usize>,
-    /// The last whole state: after a start, many read the same one.
-    whole: RefCell<Option<Written>>,
+    /// The last encoded full state, which many readers request after a start.
+    full: RefCell<Option<EncodedState>>,
 }
 
 impl StateServer {
     fn new(shared: Arc<Shared>) -> Self {
-        Self { shared, readers: Cell::new(0), whole: RefCell::new(None) }
+        Self { shared, readers: Cell::new(0), full: RefCell::new(None) }
     }
 
-    fn most_readers(&self) -> usize {
-        let whole = self.whole.borrow();
-        let bytes = whole.as_ref().map(|written| written.bytes.len());
+    fn max_readers(&self) -> usize {
+        let full = self.full.borrow();
+        let bytes = full.as_ref().map(|encoded| encoded.bytes.len());
         let link_mbps = self.shared.settings.peers.link_mbps;
-        most_readers(link_mbps, bytes.unwrap_or(FIRST_STATE_BYTES))
+        max_readers(link_mbps, bytes.unwrap_or(INITIAL_STATE_BYTES))
     }
 
-    /// Writes what is newer than what a reader has.
+    /// Encodes the part of the state that is newer than the reader's versions.
     fn newer_than(&self, known: StateVersions) -> Result<Bytes, PortError> {
         if known == StateVersions::default() {
-            return self.whole();
+            return self.full();
         }
         let view = self.shared.view.load();
         let catalog = view.catalog.as_deref();
@@ -251,20 +257,20 @@
         state.encode().map(Bytes::from)
     }
 
-    fn whole(&self) -> Result<Bytes, PortError> {
+    fn full(&self) -> Result<Bytes, PortError> {
         let view = self.shared.view.load();
         let (catalog, listing) = (view.catalog.clone(), view.listing.clone());
         let evacuations = view.evacuations.orders();
         let limits = self.limits();
-        let mut whole = self.whole.borrow_mut();
-        if let Some(written) = &*whole
-            && written.catalog.as_ref().map(Arc::as_ptr)
+        let mut full = self.full.borrow_mut();
+        if let Some(encoded) = &*full
+            && encoded.catalog.as_ref().map(Arc::as_ptr)
                 == catalog.as_ref().map(Arc::as_ptr)
-            && Arc::ptr_eq(&written.listing, &listing)
-            && written.evacuations.as_ref() == evacuations
-            && written.limits == limits
+            && Arc::ptr_eq(&encoded.listing, &listing)
+            && encoded.evacuations.as_ref() == evacuations
+            && encoded.limits == limits
         {
-            return Ok(written.bytes.clone());
+            return Ok(encoded.bytes.clone());
         }
         let state = PeerState {
             catalog: catalog.as_deref().cloned(),
@@ -274,7 +280,7 @@
             limits: limits.clone(),
         };
         let bytes = Bytes::from(state.encode()?);
-        *whole = Some(Written {
+        *full = Some(EncodedState {
             catalog,
             listing,
             evacuations: evacuations.cloned(),
@@ -288,8 +294,8 @@
         self.shared.upstream_limits().reports().cloned().collect()
     }
 
-    /// Returns the upstreams without those that lapsed: a peer could not tell
-    /// when those are to be taken as gone.
+    /// Returns the list without lapsed upstreams, since a peer would not know
+    /// when their grace period ends.
     fn listing(&self) -> Listing {
         let view = self.shared.view.load();
         let mut listing = (*view.listing).clone();
@@ -300,33 +306,33 @@
     }
 }
 
-/// Returns how many readers a gateway with such a link may have at once of a
-/// whole state with so many bytes.
+/// Returns how many readers a gateway serves at once, given the bandwidth of
+/// its link and the size of a full state.
 ///
-/// Who has read it gives it to others. Where the state is large, fewer at once
-/// have it sooner, and all of them together, too.
+/// A gateway that has read the state serves others in turn. With a large state,
+/// fewer concurrent readers finish sooner, and so do all gateways together.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-pub fn most_readers(link_mbps: f64, state_bytes: usize) -> usize {
-    let bytes_each_ms = link_mbps * 1_000.0 / 8.0;
-    let bytes = bytes_each_ms * ALL_READ_WITHIN_MS;
+pub fn max_readers(link_mbps: f64, state_bytes: usize) -> usize {
+    let bytes_per_ms = link_mbps * 1_000.0 / 8.0;
+    let bytes = bytes_per_ms * ALL_READERS_SERVED_MS;
     let readers = bytes / state_bytes.max(1) as f64;
-    (readers as usize).max(LEAST_READERS)
+    (readers as usize).max(MIN_READERS)
 }
 
-/// One reader's connection.
+/// The connection of one reader.
 #[derive(Debug)]
 struct Reader {
     server: Rc<StateServer>,
-    /// Whether readers were too many already when this one came.
-    is_beyond: bool,
+    /// Whether the limit of readers was reached when this one connected.
+    is_over_limit: bool,
 }
 
 impl Reader {
     fn new(server: Rc<StateServer>) -> Self {
         let readers = server.readers.get();
         server.readers.set(readers + 1);
-        let is_beyond = readers >= server.most_readers();
-        Self { server, is_beyond }
+        let is_over_limit = readers >= server.max_readers();
+        Self { server, is_over_limit }
     }
 
     fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
@@ -335,7 +341,7 @@
             *response.status_mut() = StatusCode::NOT_FOUND;
             return response;
         }
-        if self.is_beyond {
+        if self.is_over_limit {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
             return response;
         }
@@ -344,7 +350,7 @@
         match self.server.newer_than(known) {
             Ok(bytes) => *response.body_mut() = Full::from(bytes),
             Err(error) => {
-                log::warn!("the state for a peer was not written: {error}");
+                log::warn!("failed to encode the state for a peer: {error}");
                 *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
             }
         }
--- a/crates/valehold-gateway/src/settings.rs
+++ b/crates/valehold-gateway/src/settings.rs
@@ -15,27 +15,27 @@
 
 use crate::{mechanisms::MechanismSettings, settings_file::FileSettings};
 
-/// Everything that a gateway is told when it starts.
+/// The settings of a gateway, which it reads at its start.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Its name.
+    /// The gateway's name.
     pub instance: InstanceId,
-    /// The data centre that it stands in.
+    /// The gateway's data centre.
     pub data_centre: DataCentreId,
-    /// The region of each data centre. Without any, all are taken to stand in
-    /// the same one.
+    /// The region of each data centre. If empty, all data centres are assumed
+    /// to be in the same region.
     #[serde(default)]
     pub regions: BTreeMap<DataCentreId, RegionId>,
-    /// Its side towards callers.
+    /// The interface to callers.
     pub callers: CallerSettings,
-    /// Its side towards other gateways.
+    /// The interface to other gateways.
     pub peers: PeerSettings,
-    /// The platform.
+    /// The interface to the platform.
     pub platform: PlatformSettings,
-    /// The budget for second sends, over all gateways.
+    /// The retry budget of all gateways together.
     pub retry: RetrySettings,
-    /// How limits of workspaces are counted.
+    /// The accounting of workspaces' limits.
     #[serde(default)]
     pub limits: LimitSettings,
     /// The lease under which models are placed.
@@ -48,97 +48,98 @@
     /// Requests that crash upstreams.
     #[serde(default)]
     pub crashes: CrashSettings,
-    /// Emptying data centres.
+    /// The evacuation of data centres.
     #[serde(default)]
     pub evacuation: EvacuationSettings,
-    /// What distances cost, until more is known.
+    /// The assumed latencies between regions, until they have been measured.
     #[serde(default)]
     pub distance: DistanceSettings,
-    /// How engines are chosen.
+    /// The choice of engines.
     #[serde(default)]
     pub routing: RoutingSettings,
-    /// How requests are let in.
+    /// The admission of requests.
     #[serde(default)]
     pub admission: AdmissionSettings,
-    /// Which mechanisms are used; measurements switch single ones off.
+    /// The mechanisms in use; measurements switch single ones off.
     #[serde(default)]
     pub mechanisms: MechanismSettings,
-    /// The least level that is logged.
-    #[serde(default = "default_level")]
+    /// The lowest level that is logged.
+    #[serde(default = "default_log_level")]
     pub log_level: String,
 }
 
-/// The side towards callers.
+/// The interface to callers.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerSettings {
-    /// Where requests are taken.
+    /// The address at which requests are accepted.
     pub requests: SocketAddr,
-    /// Where the platform asks whether this gateway is ready.
+    /// The address of the platform's readiness probe.
     pub ready: SocketAddr,
-    /// Where callers ask which addresses to use.
+    /// The address at which callers look up the addresses of gateways.
     pub addresses: SocketAddr,
-    /// For how long callers keep an answer about addresses, in seconds.
-    #[serde(default = "default_keep")]
+    /// How long callers may cache looked-up addresses, in seconds.
+    #[serde(default = "default_address_keep_s")]
     pub address_keep_s: u64,
-    /// How long a stop may take, in seconds.
+    /// How long an orderly shutdown may take, in seconds.
     pub stop_s: f64,
-    /// Where metrics are given, if anywhere.
+    /// The address at which metrics are served; none if it is absent.
     pub metrics: Option<SocketAddr>,
 }
 
-/// The side towards other gateways.
+/// The interface to other gateways.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Where heartbeats are taken, by UDP.
+    /// The UDP address at which heartbeats are received.
     pub heartbeats: SocketAddr,
-    /// Where peers read the configuration and the upstreams, by TCP.
+    /// The TCP address at which peers read the configuration and the list of
+    /// upstreams.
     pub state: SocketAddr,
-    /// Other gateways' state addresses; they may be stale.
+    /// State addresses of other gateways; some may be stale.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// This machine's share of a processor. Stronger gateways work for the
-    /// others.
-    #[serde(default = "one")]
+    /// The gateway's share of a processor. Gateways with larger shares take on
+    /// duties for all.
+    #[serde(default = "default_strength")]
     pub strength: f64,
-    /// The bandwidth of this machine's link, in Mbit a second: how many peers
-    /// may read its state at once depends on it.
-    #[serde(default = "default_link")]
+    /// The bandwidth of this machine's link, in Mbit/s. The number of peers that
+    /// may read the gateway's state at once depends on it.
+    #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
-    /// How often heartbeats are sent, in ms.
-    #[serde(default = "default_heartbeat")]
+    /// The interval between heartbeats, in ms.
+    #[serde(default = "default_every_ms")]
     pub every_ms: u64,
-    /// After how long a silent gateway is taken for gone, in ms.
-    #[serde(default = "default_silence")]
+    /// The time without a heartbeat after which a gateway counts as dead, in ms.
+    #[serde(default = "default_silent_ms")]
     pub silent_ms: u64,
 }
 
-/// The platform.
+/// The interface to the platform.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The store's address.
+    /// The address of the store.
     pub store: SocketAddr,
 }
 
-/// The budget for second sends, over all gateways.
+/// The retry budget of all gateways together.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Second sends for each request.
+    /// The number of retries that each request adds to the budget.
     pub ratio: f64,
-    /// Second sends beyond that, in a window.
+    /// The number of further retries in each window.
     pub slack: f64,
-    /// The window's length, in seconds.
+    /// The length of the window, in seconds.
     pub window_s: f64,
-    /// How many gateways there may ever be at once.
+    /// The largest number of gateways that may run at once.
     #[serde(default = "default_instances")]
     pub instances: u32,
 }
 
 impl RetrySettings {
-    /// Returns the budget.
+    /// Returns the budget with its window in ms.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn budget(&self) -> RetryBudget {
         RetryBudget {
@@ -154,8 +155,8 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseSettings {
-    /// How long after an old holder's last order a new one's first may come,
-    /// in ms.
+    /// The time between the last order of a lease's holder and the first order
+    /// of the next one, in ms.
     pub quiet_ms: u64,
 }
 
@@ -163,22 +164,23 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadSettings {
-    /// The span over which loads are counted, in seconds.
+    /// The length of the window in which loads are counted, in seconds.
     pub window_s: f64,
 }
 
-/// How many requests cold upstreams may get, over all gateways.
+/// How many requests cold upstreams may receive from all gateways together.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ColdSettings {
-    /// How many times as many as they bear they survive in any one second.
+    /// The factor on the rate that a cold upstream is declared to bear: the
+    /// upstream survives the product in any one second.
     pub overshoot: f64,
-    /// How many more than that, in any one second.
+    /// The number of further requests that it survives in any one second.
     pub slack: f64,
 }
 
 impl ColdSettings {
-    /// Returns what cold upstreams survive.
+    /// Returns the bound on requests to cold upstreams.
     pub fn bound(&self) -> ColdBound {
         ColdBound { overshoot: self.overshoot, slack: self.slack }
     }
@@ -190,17 +192,18 @@
     }
 }
 
-/// What becomes of requests that crash the upstreams that run them.
+/// How requests that crash upstreams are refused.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CrashSettings {
-    /// For how long such a request is refused, in seconds, and a crash is
-    /// remembered. Then it may run again, and crash three more.
+    /// How long a crash is remembered and such a request is refused, in
+    /// seconds. Afterwards the request may run again and crash three more
+    /// upstreams.
     pub keep_s: u64,
 }
 
 impl CrashSettings {
-    /// Returns for how long a crash is remembered, in ms.
+    /// Returns how long a crash is remembered, in ms.
     pub const fn keep_ms(&self) -> u64 {
         self.keep_s.saturating_mul(1_000)
     }
@@ -212,12 +215,12 @@
     }
 }
 
-/// How data centres are emptied.
+/// How data centres are evacuated.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EvacuationSettings {
-    /// How long after the store has taken the order the data centre may get
-    /// new requests, in ms.
+    /// How long a data centre may receive new requests after the store has
+    /// recorded the evacuation order, in ms.
     pub within_ms: u64,
 }
 
@@ -227,27 +230,27 @@
     }
 }
 
-/// The longest time for which a request may be refused, in seconds: a day,
-/// after which whoever operates the upstreams has seen why they crashed.
-const MOST_KEEP_S: u64 = 86_400;
+/// The longest time for which a request may be refused, in seconds. One day
+/// gives the upstreams' operators time to find the cause of the crashes.
+const MAX_KEEP_S: u64 = 86_400;
 
-const fn one() -> f64 {
+const fn default_strength() -> f64 {
     1.0
 }
 
-const fn default_keep() -> u64 {
+const fn default_address_keep_s() -> u64 {
     1
 }
 
-const fn default_link() -> f64 {
+const fn default_link_mbps() -> f64 {
     100.0
 }
 
-const fn default_heartbeat() -> u64 {
+const fn default_every_ms() -> u64 {
     250
 }
 
-const fn default_silence() -> u64 {
+const fn default_silent_ms() -> u64 {
     1_300
 }
 
@@ -255,7 +258,7 @@
     16
 }
 
-fn default_level() -> String {
+fn default_log_level() -> String {
     "info".to_owned()
 }
 
@@ -263,51 +266,55 @@
     const HELP: &'static str =
         "docs/OPERATIONS.md lists every setting of a gateway";
 
-    const HOW_TO_NAME: &'static str =
-        "name the file in the variable VALEHOLD_CONFIG";
+    const FILE_PATH_HELP: &'static str =
+        "set the environment variable VALEHOLD_CONFIG to the file's path";
 
-    fn fault(&self) -> Option<&'static str> {
+    fn violation(&self) -> Option<&'static str> {
         if self.peers.every_ms == 0 {
-            return Some("peers.every_ms is above 0");
+            return Some("peers.every_ms must be above 0");
         }
         if self.peers.silent_ms <= self.peers.every_ms {
-            return Some("peers.silent_ms is above peers.every_ms");
+            return Some("peers.silent_ms must be above peers.every_ms");
         }
         if self.peers.link_mbps <= 0.0 {
-            return Some("peers.link_mbps is above 0");
+            return Some("peers.link_mbps must be above 0");
         }
         if self.callers.stop_s <= 0.0 {
-            return Some("callers.stop_s is above 0");
+            return Some("callers.stop_s must be above 0");
         }
         if self.retry.ratio < 0.0 || self.retry.slack < 0.0 {
-            return Some("retry.ratio and retry.slack are 0 or above");
+            return Some("retry.ratio and retry.slack must not be negative");
         }
         if !self.regions.is_empty()
             && !self.regions.contains_key(&self.data_centre)
         {
-            return Some("regions names data_centre");
+            return Some("regions must contain data_centre");
         }
         if self.routing.connection_ms < 0.0 {
-            return Some("routing.connection_ms is 0 or above");
+            return Some("routing.connection_ms must not be negative");
         }
         if !self.distance.are_valid() {
-            return Some("distance has no time below 0");
+            return Some("distance must not contain negative times");
         }
-        if self.crashes.keep_s == 0 || self.crashes.keep_s > MOST_KEEP_S {
-            return Some("crashes.keep_s is from 1 to 86400");
+        if self.crashes.keep_s == 0 || self.crashes.keep_s > MAX_KEEP_S {
+            return Some("crashes.keep_s must be from 1 to 86400");
         }
         if self.cold.overshoot < 0.0 || self.cold.slack < 0.0 {
-            return Some("cold.overshoot and cold.slack are 0 or above");
+            return Some("cold.overshoot and cold.slack must not be negative");
         }
         let limits = &self.limits;
         if limits.window_s <= 0.0 || limits.instances == 0 {
-            return Some("limits.window_s and limits.instances are above 0");
+            return Some(
+                "limits.window_s and limits.instances must be above 0",
+            );
         }
         if limits.overshoot < 0.0 || limits.slack < 0.0 {
-            return Some("limits.overshoot and limits.slack are 0 or above");
+            return Some(
+                "limits.overshoot and limits.slack must not be negative",
+            );
         }
         if self.loads.window_s <= 0.0 || self.retry.window_s <= 0.0 {
-            return Some("loads.window_s and retry.window_s are above 0");
+            return Some("loads.window_s and retry.window_s must be above 0");
         }
         None
     }
--- a/crates/valehold-gateway/src/settings_file.rs
+++ b/crates/valehold-gateway/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reading settings from TOML files, with errors that name the place.
+//! Reading of settings from TOML files, with errors that point at the line.
 
 use std::path::Path;
 
@@ -6,26 +6,27 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Settings that can be read from a file.
+/// Settings that can be read from a TOML file.
 pub trait FileSettings: DeserializeOwned {
-    /// Where all settings are described.
+    /// The help of errors in settings: where all settings are described.
     const HELP: &'static str;
 
-    /// How a file is named, for one that cannot be read.
-    const HOW_TO_NAME: &'static str;
+    /// The help of unreadable files: how the file's path is given.
+    const FILE_PATH_HELP: &'static str;
 
-    /// Returns what is wrong with values that are each of the right type.
-    fn fault(&self) -> Option<&'static str>;
+    /// Returns the first violated constraint on values; `None` if the values
+    /// are valid.
+    fn violation(&self) -> Option<&'static str>;
 
-    /// Reads settings from their text; `name` is the file's, for errors.
+    /// Parses settings. Errors show `name` as the name of the file.
     ///
     /// # Errors
     ///
-    /// If the text is not TOML, lacks a setting, or has one that is unknown
-    /// or out of its range.
+    /// If the text is not TOML, or a setting is missing, unknown or out of
+    /// range.
     fn from_toml(name: &str, text: &str) -> Result<Self, SettingsError> {
         let fail = |message: String, span: Option<SourceSpan>| {
-            SettingsError(Box::new(SettingsFault {
+            SettingsError(Box::new(InvalidSettings {
                 message,
                 text: NamedSource::new(name, text.to_owned()),
                 span,
@@ -35,8 +36,8 @@
         let settings: Self = toml::from_str(text).map_err(|e| {
             fail(e.message().to_owned(), e.span().map(Into::into))
         })?;
-        match settings.fault() {
-            Some(fault) => Err(fail(fault.to_owned(), None)),
+        match settings.violation() {
+            Some(violation) => Err(fail(violation.to_owned(), None)),
             None => Ok(settings),
         }
     }
@@ -45,30 +46,31 @@
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, or as [`FileSettings::from_toml`].
+    /// If the file cannot be read, and in the cases of
+    /// [`FileSettings::from_toml`].
     fn from_file(path: &Path) -> Result<Self, SettingsError> {
         let name = path.display().to_string();
         match std::fs::read_to_string(path) {
             Ok(text) => Self::from_toml(&name, &text),
-            Err(error) => Err(SettingsError(Box::new(SettingsFault {
+            Err(error) => Err(SettingsError(Box::new(InvalidSettings {
                 message: format!("{name} cannot be read: {error}"),
                 text: NamedSource::new(name, String::new()),
                 span: None,
-                help: Self::HOW_TO_NAME,
+                help: Self::FILE_PATH_HELP,
             }))),
         }
     }
 }
 
-/// What is wrong with a settings file.
+/// An error in a settings file, with the place in the text if it is known.
 #[derive(Debug, Error, Diagnostic)]
 #[error(transparent)]
 #[diagnostic(transparent)]
-pub struct SettingsError(Box<SettingsFault>);
+pub struct SettingsError(Box<InvalidSettings>);
 
 #[derive(Debug, Error, Diagnostic)]
-#[error("the settings do not hold: {message}")]
-struct SettingsFault {
+#[error("invalid settings: {message}")]
+struct InvalidSettings {
     message: String,
     #[source_code]
     text: NamedSource<String>,
--- a/crates/valehold-gateway/src/traffic/words.rs
+++ b/crates/valehold-gateway/src/traffic/words.rs
@@ -51,7 +51,7 @@
     let Some(rest) = words.rest else { return };
     let is_new = app.shared.backoffs().record(&start, rest, app.now());
     if is_new {
-        app.shared.metrics.upstream_rests();
+        app.shared.metrics.upstream_backoff();
         let for_ms = Millis::from(rest).get();
         Event::UpstreamRests { upstream: start.id, for_ms }.log();
     }
--- a/crates/valehold-gateway/tests/state.rs
+++ b/crates/valehold-gateway/tests/state.rs
@@ -1,11 +1,11 @@
 //! How many peers read a gateway's state at once.
 
 use googletest::prelude::*;
-use valehold_gateway::peers::state::most_readers;
+use valehold_gateway::peers::state::max_readers;
 
 /// Returns how long all that may read at once take, in ms.
 fn all_read_ms(link_mbps: f64, state_bytes: usize) -> f64 {
-    let readers = most_readers(link_mbps, state_bytes);
+    let readers = max_readers(link_mbps, state_bytes);
     (readers * state_bytes) as f64 / (link_mbps * 125.0)
 }
 
@@ -14,10 +14,10 @@
 // second each while nobody else could read.
 #[gtest]
 fn readers_of_a_large_state_are_fewer() {
-    expect_that!(most_readers(20.0, 64_000), eq(7));
-    expect_that!(most_readers(20.0, 400_000), eq(4));
-    expect_that!(most_readers(1_000.0, 64_000), eq(390));
-    expect_that!(most_readers(1_000.0, 400_000), eq(62));
+    expect_that!(max_readers(20.0, 64_000), eq(7));
+    expect_that!(max_readers(20.0, 400_000), eq(4));
+    expect_that!(max_readers(1_000.0, 64_000), eq(390));
+    expect_that!(max_readers(1_000.0, 400_000), eq(62));
 }
 
 #[gtest]
--- a/crates/valehold-instance/src/settings.rs
+++ b/crates/valehold-instance/src/settings.rs
@@ -199,9 +199,9 @@
 impl FileSettings for Settings {
     const HELP: &'static str = "docs/OPERATIONS.md lists every setting";
 
-    const HOW_TO_NAME: &'static str = "give the file with --settings FILE";
+    const FILE_PATH_HELP: &'static str = "give the file with --settings FILE";
 
-    fn fault(&self) -> Option<&'static str> {
+    fn violation(&self) -> Option<&'static str> {
         if self.callers.threads == 0 {
             return Some("callers.threads is above 0");
         }
