--- a/crates/valehold-gateway/src/peers/state.rs
+++ b/crates/valehold-gateway/src/peers/state.rs
@@ -200,7 +200,7 @@
             .serve_connection(TokioIo::new(stream), answering);
         tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!("peer connection failed: {error}");
+                log::debug!("peer connection closed with an error: {error}");
             }
         });
     }
--- a/crates/valehold-gateway/src/settings.rs
+++ b/crates/valehold-gateway/src/settings.rs
@@ -64,7 +64,7 @@
     #[serde(default)]
     pub mechanisms: MechanismSettings,
     /// The lowest level that is logged.
-    #[serde(default = "default_log_level")]
+    #[serde(default = "default_level")]
     pub log_level: String,
 }
 
@@ -79,7 +79,7 @@
     /// The address at which callers look up the addresses of gateways.
     pub addresses: SocketAddr,
     /// How long callers may cache looked-up addresses, in seconds.
-    #[serde(default = "default_address_keep_s")]
+    #[serde(default = "default_keep")]
     pub address_keep_s: u64,
     /// How long an orderly shutdown may take, in seconds.
     pub stop_s: f64,
@@ -101,17 +101,17 @@
     pub seeds: Vec<SocketAddr>,
     /// The gateway's share of a processor. Gateways with larger shares take on
     /// duties for all.
-    #[serde(default = "default_strength")]
+    #[serde(default = "one")]
     pub strength: f64,
     /// The bandwidth of this machine's link, in Mbit/s. The number of peers that
     /// may read the gateway's state at once depends on it.
-    #[serde(default = "default_link_mbps")]
+    #[serde(default = "default_link")]
     pub link_mbps: f64,
     /// The interval between heartbeats, in ms.
-    #[serde(default = "default_every_ms")]
+    #[serde(default = "default_heartbeat")]
     pub every_ms: u64,
     /// The time without a heartbeat after which a gateway counts as dead, in ms.
-    #[serde(default = "default_silent_ms")]
+    #[serde(default = "default_silence")]
     pub silent_ms: u64,
 }
 
@@ -234,23 +234,23 @@
 /// gives the upstreams' operators time to find the cause of the crashes.
 const MAX_KEEP_S: u64 = 86_400;
 
-const fn default_strength() -> f64 {
+const fn one() -> f64 {
     1.0
 }
 
-const fn default_address_keep_s() -> u64 {
+const fn default_keep() -> u64 {
     1
 }
 
-const fn default_link_mbps() -> f64 {
+const fn default_link() -> f64 {
     100.0
 }
 
-const fn default_every_ms() -> u64 {
+const fn default_heartbeat() -> u64 {
     250
 }
 
-const fn default_silent_ms() -> u64 {
+const fn default_silence() -> u64 {
     1_300
 }
 
@@ -258,7 +258,7 @@
     16
 }
 
-fn default_log_level() -> String {
+fn default_level() -> String {
     "info".to_owned()
 }
 
