--- a/crates/valehold-gateway/src/control/lease/tests.rs
+++ b/crates/valehold-gateway/src/control/lease/tests.rs
@@ -12,8 +12,8 @@
     Millis,
     fleet::{
         Listing, StoreVersion,
-        crashes::{RecordChange, RecordSight},
-        weight_loads::{Inheritance, LostLoads},
+        crashes::{RecordChange, RecordState},
+        weight_loads::{InheritedLoads, LostLoads},
     },
     id::InstanceId,
     lease::{LeaseInEra, LeaseRow, VersionedLease},
@@ -129,7 +129,7 @@
         async move { Ok(LeaseWrite::Won { version, store_ms }) }.boxed()
     }
 
-    fn read_refused(&self) -> Answer<'_, RecordSight> {
+    fn read_refused(&self) -> Answer<'_, RecordState> {
         unasked()
     }
 
@@ -254,7 +254,7 @@
 }
 
 /// Lets a gateway take the lease, and returns what it counts of others' loads.
-async fn inherited(member: &mut Member, from: u64) -> Option<Inheritance> {
+async fn inherited(member: &mut Member, from: u64) -> Option<InheritedLoads> {
     member.act_from(from, from + 5_000).await;
     expect_true!(member.duty.held_epoch(at(from + 5_000)).is_some());
     member.duty.take_inheritance()
--- a/crates/valehold-gateway/src/peers/message.rs
+++ b/crates/valehold-gateway/src/peers/message.rs
@@ -13,10 +13,10 @@
         Asked, Catalog, EngineHolding, Evacuations, ListingDelta, RegionBound,
         UpstreamStart, Variant,
         cold::{PermitReply, PermitRequest},
-        crashes::CrashWords,
+        crashes::CrashReports,
         paces::{PaceObservation, PaceUpdate},
         upstream_limit::LimitReport,
-        usage::{Rulings, UsageTotal},
+        usage::{Throttles, UsageTotal},
     },
     id::{DataCentreId, InstanceId, UpstreamTag},
 };
@@ -319,7 +319,7 @@
     pub crash_digest: u64,
     /// The throttles of workspaces; `None` if the hub has not received
     /// reports for long enough to compute them.
-    pub throttles: Option<Rulings>,
+    pub throttles: Option<Throttles>,
 }
 
 /// The periodic report of a group's primary hub to the hubs of other groups
@@ -407,7 +407,7 @@
     /// The total load of all gateways.
     pub loads: LoadUpdate,
     /// The throttles of workspaces, as in a summary.
-    pub throttles: Option<Rulings>,
+    pub throttles: Option<Throttles>,
     /// The estimated paces of engines and models.
     pub paces: PaceUpdate,
 }
@@ -456,7 +456,7 @@
     Evacuations(EvacuationReport),
     /// From a gateway that observed crashes: the crashes and the requests that
     /// were in flight. To a gateway whose records differ: all records.
-    Crashes(CrashWords),
+    Crashes(CrashReports),
     /// From a gateway that received such an answer: upstreams that announce
     /// that they are leaving.
     Leaving(Vec<UpstreamStart>),
--- a/crates/valehold-gateway/src/shared.rs
+++ b/crates/valehold-gateway/src/shared.rs
@@ -14,7 +14,7 @@
     Asked, UpstreamStart,
     backoff::UpstreamBackoffs,
     cold::{ColdPermits, PermitRequest},
-    crashes::CrashBook,
+    crashes::CrashTracker,
     paces::{PaceObservation, Paces},
     topology::Topology,
     upstream_limit::UpstreamLimits,
@@ -98,7 +98,7 @@
     cold: Mutex<ColdPermits>,
     backoffs: Mutex<UpstreamBackoffs>,
     upstream_limits: Mutex<UpstreamLimits>,
-    crashes: Mutex<CrashBook>,
+    crashes: Mutex<CrashTracker>,
     crash_changes: watch::Sender<u64>,
     load_requests: mpsc::Sender<Asked>,
     permit_requests: mpsc::Sender<PermitRequest>,
@@ -140,7 +140,7 @@
             cold: Mutex::new(ColdPermits::new(rand::random())),
             backoffs: Mutex::default(),
             upstream_limits: Mutex::default(),
-            crashes: Mutex::new(CrashBook::new(settings.crashes.keep_ms())),
+            crashes: Mutex::new(CrashTracker::new(settings.crashes.keep_ms())),
             crash_changes: watch::Sender::new(0),
             load_requests,
             permit_requests,
@@ -210,14 +210,14 @@
     }
 
     /// Returns the records of crashes and of the requests that cause them.
-    pub fn crashes(&self) -> MutexGuard<'_, CrashBook> {
+    pub fn crashes(&self) -> MutexGuard<'_, CrashTracker> {
         // Entries are independent, so any state that a panic left is valid.
         self.crashes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Changes the records of crashes, and notifies requests in flight if the
     /// set of refused requests changed.
-    pub fn update_crashes(&self, change: impl FnOnce(&mut CrashBook)) {
+    pub fn update_crashes(&self, change: impl FnOnce(&mut CrashTracker)) {
         let changes = {
             let mut book = self.crashes();
             change(&mut book);
--- a/crates/valehold-gateway/tests/recorded_bytes.rs
+++ b/crates/valehold-gateway/tests/recorded_bytes.rs
@@ -27,11 +27,12 @@
         },
         cold::{PermitReply, PermitRequest},
         crashes::{
-            AnsweredWord, CrashWord, CrashWords, RefusedWord, RequestContent,
+            AnsweredReport, CrashReport, CrashReports, RefusedReport,
+            RequestContent,
         },
         paces::{LogRatio, PaceObservation, PaceUpdate, Paces},
         upstream_limit::{LimitReport, RequestRate},
-        usage::{Part, Ruling, Rulings, UsageTotal},
+        usage::{Fraction, Throttle, Throttles, UsageTotal},
         workspace::{KeyDigest, UsageLimit, UsageUnit, Workspace, Workspaces},
     },
     id::{
@@ -153,18 +154,18 @@
     vec![UsageTotal {
         workspace: WorkspaceId::new("acme").tag(),
         used: 1_001,
-        asked: 1_102,
-        lately: 203,
+        requested: 1_102,
+        used_in_window: 203,
     }]
 }
 
-fn throttles() -> Option<Rulings> {
-    let ruling = Ruling {
+fn throttles() -> Option<Throttles> {
+    let throttle = Throttle {
         workspace: WorkspaceId::new("acme").tag(),
-        let_through: Part::new(0.25),
-        used: Part::new(0.5),
+        admitted: Fraction::new(0.25),
+        used: Fraction::new(0.5),
     };
-    Some(Rulings { seen: 40, present: 38, workspaces: vec![ruling] })
+    Some(Throttles { seen: 40, present: 38, workspaces: vec![throttle] })
 }
 
 fn pace_observations() -> Vec<PaceObservation> {
@@ -398,7 +399,7 @@
         name: WorkspaceId::new("acme"),
         rank: 1,
         limit: Some(UsageLimit {
-            unit: UsageUnit::Tokens { of_plain: 500 },
+            unit: UsageUnit::Tokens { default_tokens: 500 },
             rate: 1_000.5,
             burst: 250.25,
         }),
@@ -431,22 +432,24 @@
     text.parse().unwrap()
 }
 
-fn crash_reports() -> CrashWords {
-    let crash = CrashWord {
+fn crash_reports() -> CrashReports {
+    let crash = CrashReport {
         upstream: UpstreamTag::new(0x0102_0304),
         left_ms: 590_000,
-        under_way: vec![
+        in_flight: vec![
             content("0123456789abcdef"),
             content("00000000000000ff"),
         ],
     };
-    let answered = AnsweredWord {
+    let answered = AnsweredReport {
         content: content("00000000000001ff"),
         left_ms: 580_000,
     };
-    let refused =
-        RefusedWord { content: content("0123456789abcdef"), left_ms: 570_000 };
-    CrashWords {
+    let refused = RefusedReport {
+        content: content("0123456789abcdef"),
+        left_ms: 570_000,
+    };
+    CrashReports {
         crashes: vec![crash],
         answered: vec![answered],
         refused: vec![refused],
