--- a/crates/valehold-gateway/examples/fleet_costs.rs
+++ b/crates/valehold-gateway/examples/fleet_costs.rs
@@ -1,8 +1,8 @@
-//! What a fleet of gateways costs its members, by role: the bytes that they
-//! say to each other, and the time that it takes to work out what they say.
+//! Measures the cost of communication in a fleet of gateways, by role: the
+//! bytes of messages and the time to compute them.
 //!
-//! The real rosters, sums, lists and messages are driven without a network:
-//! bytes are counted and exact, times are the mean of some rounds.
+//! The program runs the real rosters, load sums, lists and messages without a
+//! network. Byte counts are exact; times are the mean of several rounds.
 //!
 //! `cargo run --release -p valehold-gateway --example fleet_costs -- \
 //!    [--gateways N --upstreams N] [--csv]`
@@ -37,36 +37,36 @@
     view::{Life, Load},
 };
 
-/// The fleets that are reckoned if none is named: gateways and upstreams.
+/// The default fleets, as numbers of gateways and of upstreams.
 const FLEETS: [(usize, usize); 4] =
     [(100, 400), (300, 1_200), (986, 3_996), (1_972, 7_992)];
 
-/// In how many data centres a fleet stands.
+/// The number of data centres of a fleet.
 const DATA_CENTRES: usize = 6;
 
-/// How many models an engine holds.
-const MODELS_EACH: usize = 3;
+/// The number of models that each engine holds.
+const MODELS_PER_ENGINE: usize = 3;
 
-/// How often hubs tell of gateways, in ms.
-const BEAT_MS: u64 = 500;
+/// The interval between summaries, in ms.
+const SUMMARY_INTERVAL_MS: u64 = 500;
 
-/// How often hubs tell what is under way, a second.
-const LOADS_PER_SECOND: usize = 1_000 / 150;
+/// The number of load updates that a hub sends each second.
+const LOAD_UPDATES_PER_SECOND: usize = 1_000 / 150;
 
-/// How many upstreams' sums are told at once.
-const MOST_SUMS: usize = 96;
+/// The most upstreams whose loads one update contains.
+const MAX_SUMS: usize = 96;
 
-/// Of how many gateways one changes with each beat while the store answers
-/// some and not others.
-const CHANGES_ONE_IN: usize = 100;
+/// One in this many gateways changes between two summaries while only some
+/// gateways reach the store.
+const GATEWAYS_PER_CHANGE: usize = 100;
 
-/// The link of a small machine, in Mbit/s.
+/// The bandwidth of a small machine's link, in Mbit/s.
 const SMALL_LINK_MBPS: f64 = 20.0;
 
-/// How many upstreams crash at once.
-const CRASHED: usize = 20;
+/// The number of upstreams that crash at once.
+const CRASHED_UPSTREAMS: usize = 20;
 
-/// How often each piece of work is done; the mean is printed.
+/// The number of rounds of each measurement, of which the mean is printed.
 const ROUNDS: u32 = 20;
 
 fn main() -> Result<(), pico_args::Error> {
@@ -80,25 +80,25 @@
     };
     let all: Vec<Vec<(&str, f64)>> =
         fleets.iter().map(|(g, u)| Fleet::new(*g, *u).costs()).collect();
-    let (head, rule, between) = match as_csv {
+    let (prefix, rule, separator) = match as_csv {
         true => ("", "", ","),
         false => ("| ", "| --- ", " | "),
     };
     let sizes = fleets.iter().map(|(g, u)| format!("{g} before {u}"));
     let sizes: Vec<String> = sizes.collect();
-    println!("{head}what{between}{}", sizes.join(between));
+    println!("{prefix}what{separator}{}", sizes.join(separator));
     if !as_csv {
         println!("{}|", rule.repeat(fleets.len() + 1));
     }
     for (row, (name, _)) in all[0].iter().enumerate() {
         let figures = all.iter().map(|one| format!("{:.1}", one[row].1));
         let figures: Vec<String> = figures.collect();
-        println!("{head}{name}{between}{}", figures.join(between));
+        println!("{prefix}{name}{separator}{}", figures.join(separator));
     }
     Ok(())
 }
 
-/// A fleet as its foremost hub in one data centre knows it.
+/// A fleet in the state of the primary hub of one data centre.
 struct Fleet {
     gateways: usize,
     upstreams: usize,
@@ -114,99 +114,114 @@
         let last = gateways - 1;
         let mut hub = hub_of_group(last, gateways, now);
         for other in last + 1 - DATA_CENTRES..last {
-            let elsewhere = hub_of_group(other, gateways, now);
-            let digest = elsewhere.digest(&heartbeat(other), vec![], now);
+            let remote_hub = hub_of_group(other, gateways, now);
+            let digest = remote_hub.digest(&heartbeat(other), vec![], now);
             hub.on_digest(address(other), digest, now);
         }
-        hub.recompute(own_word(last), now);
+        hub.recompute(local_report(last), now);
         let own = heartbeat(last);
         let group = hub.summary_targets().len();
         Self { gateways, upstreams, now, hub, own, group }
     }
 
-    /// Returns what is told and done, by name.
+    /// Returns the measured costs, by name.
     fn costs(&self) -> Vec<(&'static str, f64)> {
-        let mut told = AdvertisedMembers::default();
+        let mut advertised = AdvertisedMembers::default();
         let members = self.hub.members_to_advertise(&self.own, self.now);
-        let first = told.next_update(&members, usize::MAX);
-        let whole = Summary {
-            members: first,
+        let full_list = advertised.next_update(&members, usize::MAX);
+        let full_summary = Summary {
+            members: full_list,
             ..self.summary(&mut AdvertisedMembers::default())
         };
-        let calm = bytes_of_summary(self.summary(&mut told));
-        let changing = self.changing(&mut told, &members);
-        let asked: usize = told
+        let calm = bytes_of_summary(self.summary(&mut advertised));
+        let changing = self.changing_summary_bytes(&mut advertised, &members);
+        let parts: usize = advertised
             .parts(1)
             .into_iter()
             .map(|part| bytes_of(&Message::Members(part)))
             .sum();
-        let news = self.loads_bytes();
+        let load_update = self.loads_bytes();
         let group_loads = self.group_loads_bytes();
         let digest = self.hub.digest(&self.own, Vec::new(), self.now);
         let digest = bytes_of(&Message::Digest(Box::new(digest)));
-        let beat = bytes_of(&Message::Heartbeat(Box::new(self.own.clone())));
-        let beats = 1_000.0 / BEAT_MS as f64;
-        let loads = LOADS_PER_SECOND as f64;
-        let in_calm = 2.0 * beats * calm + loads * news;
-        let in_changing = 2.0 * beats * changing + loads * news;
+        let heartbeat =
+            bytes_of(&Message::Heartbeat(Box::new(self.own.clone())));
+        let summaries_per_second = 1_000.0 / SUMMARY_INTERVAL_MS as f64;
+        let loads = LOAD_UPDATES_PER_SECOND as f64;
+        let received_calm =
+            2.0 * summaries_per_second * calm + loads * load_update;
+        let received_changing =
+            2.0 * summaries_per_second * changing + loads * load_update;
         let group = self.group as f64;
         let hubs = 2.0 * (DATA_CENTRES as f64 - 1.0);
-        let elsewhere = hubs * (beats * digest as f64 + loads * group_loads);
-        let out = |summary: f64| {
-            group * (beats * summary + loads * news) + elsewhere
+        let to_remote_hubs = hubs
+            * (summaries_per_second * digest as f64 + loads * group_loads);
+        let sent = |summary: f64| {
+            group * (summaries_per_second * summary + loads * load_update)
+                + to_remote_hubs
         };
         vec![
             ("gateways of a group", group),
-            ("whole list of gateways, KB", bytes_of_summary(whole) / 1e3),
-            ("the same in parts, for one that asks, KB", asked as f64 / 1e3),
+            (
+                "whole list of gateways, KB",
+                bytes_of_summary(full_summary) / 1e3,
+            ),
+            ("the same in parts, for one that asks, KB", parts as f64 / 1e3),
             ("summary while nobody changes, bytes", calm),
             ("summary while one in 100 changes, bytes", changing),
-            ("loads told at once, all busy, bytes", news),
-            ("heartbeat, bytes", beat as f64),
-            ("a gateway hears, calm, KB/s", in_calm / 1e3),
-            ("a gateway hears, changing, KB/s", in_changing / 1e3),
-            ("a foremost hub tells, calm, KB/s", out(calm) / 1e3),
-            ("a foremost hub tells, changing, KB/s", out(changing) / 1e3),
-            ("256 told by a new hub on 20 Mbit/s, s", self.anew_s(256)),
+            ("loads told at once, all busy, bytes", load_update),
+            ("heartbeat, bytes", heartbeat as f64),
+            ("a gateway hears, calm, KB/s", received_calm / 1e3),
+            ("a gateway hears, changing, KB/s", received_changing / 1e3),
+            ("a foremost hub tells, calm, KB/s", sent(calm) / 1e3),
+            ("a foremost hub tells, changing, KB/s", sent(changing) / 1e3),
+            (
+                "256 told by a new hub on 20 Mbit/s, s",
+                self.full_advertisement_s(256),
+            ),
             (
                 "all told by a new hub on 20 Mbit/s, s",
-                self.anew_s(self.gateways),
+                self.full_advertisement_s(self.gateways),
             ),
             ("whole state, KB", self.state_bytes() / 1e3),
             ("20 crashed upstreams told, bytes", self.crash_bytes()),
-            ("hub: what it tells of gateways, µs", self.news_us(&members)),
-            ("gateway: who does what, µs", self.standing_us()),
+            ("hub: what it tells of gateways, µs", self.members_us(&members)),
+            ("gateway: who does what, µs", self.hierarchy_us()),
             ("foremost hub: sums of loads, µs", self.sums_us()),
             ("a change of 10 upstreams, view out, µs", self.change_us()),
         ]
     }
 
-    fn summary(&self, told: &mut AdvertisedMembers) -> Summary {
+    fn summary(&self, advertised: &mut AdvertisedMembers) -> Summary {
         let members = self.hub.members_to_advertise(&self.own, self.now);
-        let news = told.next_update(&members, usize::MAX);
-        self.hub.summary(&self.own, news, None, self.now)
+        let changes = advertised.next_update(&members, usize::MAX);
+        self.hub.summary(&self.own, changes, None, self.now)
     }
 
-    /// Returns the bytes of a summary while some gateways change each beat.
-    fn changing(
+    /// Returns the size of a summary while some gateways change between two
+    /// summaries.
+    fn changing_summary_bytes(
         &self,
-        told: &mut AdvertisedMembers,
+        advertised: &mut AdvertisedMembers,
         members: &BTreeMap<SocketAddr, Member>,
     ) -> f64 {
         let mut changed = members.clone();
-        for member in changed.values_mut().step_by(CHANGES_ONE_IN) {
+        for member in changed.values_mut().step_by(GATEWAYS_PER_CHANGE) {
             member.store = StoreStatus::Unreachable;
         }
-        let most = max_changes(SMALL_LINK_MBPS, BEAT_MS, self.group);
-        let members = told.next_update(&changed, most);
-        bytes_of_summary(Summary { members, ..self.summary(told) })
+        let max_changes =
+            max_changes(SMALL_LINK_MBPS, SUMMARY_INTERVAL_MS, self.group);
+        let members = advertised.next_update(&changed, max_changes);
+        bytes_of_summary(Summary { members, ..self.summary(advertised) })
     }
 
-    /// Returns how long a new hub on a small link takes to tell of so many.
-    fn anew_s(&self, gateways: usize) -> f64 {
-        let most = max_changes(SMALL_LINK_MBPS, BEAT_MS, self.group);
-        let beats = gateways.min(self.gateways).div_ceil(most);
-        beats as f64 * BEAT_MS as f64 / 1e3
+    /// Returns the time in which a new hub on a small link advertises a number
+    /// of gateways, in seconds.
+    fn full_advertisement_s(&self, gateways: usize) -> f64 {
+        let max_changes =
+            max_changes(SMALL_LINK_MBPS, SUMMARY_INTERVAL_MS, self.group);
+        let summaries = gateways.min(self.gateways).div_ceil(max_changes);
+        summaries as f64 * SUMMARY_INTERVAL_MS as f64 / 1e3
     }
 
     /// Returns the loads of all upstreams.
@@ -220,25 +235,25 @@
     }
 
     fn loads_bytes(&self) -> f64 {
-        let mut told = AdvertisedSums::default();
-        let loads = told.next_update(&self.loads(), MOST_SUMS);
+        let mut advertised = AdvertisedSums::default();
+        let loads = advertised.next_update(&self.loads(), MAX_SUMS);
         let number = MessageNumber { start: 1, sequence: 1_000 };
         let paces = PaceUpdate::default();
-        let news = HubUpdate { number, loads, throttles: None, paces };
-        bytes_of(&Message::HubUpdate(news)) as f64
+        let update = HubUpdate { number, loads, throttles: None, paces };
+        bytes_of(&Message::HubUpdate(update)) as f64
     }
 
     fn group_loads_bytes(&self) -> f64 {
-        let mut told = AdvertisedSums::default();
-        let news = told.next_update(&self.loads(), MOST_SUMS);
-        let loads = GroupLoads {
+        let mut advertised = AdvertisedSums::default();
+        let loads = advertised.next_update(&self.loads(), MAX_SUMS);
+        let group_loads = GroupLoads {
             instance: InstanceId::new("edge-north-1"),
             number: MessageNumber { start: 1, sequence: 1_000 },
             data_centre: data_centre(0),
-            loads: news,
+            loads,
             usage: Vec::new(),
         };
-        bytes_of(&Message::GroupLoads(loads)) as f64
+        bytes_of(&Message::GroupLoads(group_loads)) as f64
     }
 
     fn listing(&self) -> Listing {
@@ -260,46 +275,49 @@
             base_version: 1,
             version: 21,
             changed: Vec::new(),
-            removed: (0..CRASHED).map(|number| start(number).id).collect(),
+            removed: (0..CRASHED_UPSTREAMS)
+                .map(|number| start(number).id)
+                .collect(),
             after_outage: false,
         };
         bytes_of(&Message::ListingChanged(delta)) as f64
     }
 
-    fn news_us(&self, members: &BTreeMap<SocketAddr, Member>) -> f64 {
-        let mut told = AdvertisedMembers::default();
-        told.next_update(members, usize::MAX);
+    fn members_us(&self, members: &BTreeMap<SocketAddr, Member>) -> f64 {
+        let mut advertised = AdvertisedMembers::default();
+        advertised.next_update(members, usize::MAX);
         mean_us(|| {
             let members = self.hub.members_to_advertise(&self.own, self.now);
-            black_box(told.next_update(&members, usize::MAX));
+            black_box(advertised.next_update(&members, usize::MAX));
         })
     }
 
-    /// Returns how long a gateway takes that hears of all from a hub.
-    fn standing_us(&self) -> f64 {
+    /// Returns the time in which a gateway that knows all others from a hub
+    /// recomputes the assignment of duties.
+    fn hierarchy_us(&self) -> f64 {
         let mut gateway = roster(0);
         let summary = self.summary(&mut AdvertisedMembers::default());
         gateway.on_summary(address(self.gateways - 1), summary, self.now);
         mean_us(|| {
-            black_box(gateway.recompute(own_word(0), self.now));
+            black_box(gateway.recompute(local_report(0), self.now));
         })
     }
 
     fn sums_us(&self) -> f64 {
-        let mut told = AdvertisedSums::default();
+        let mut advertised = AdvertisedSums::default();
         let loads = self.loads();
-        told.next_update(&loads, usize::MAX);
+        advertised.next_update(&loads, usize::MAX);
         mean_us(|| {
-            black_box(told.next_update(&loads, MOST_SUMS));
+            black_box(advertised.next_update(&loads, MAX_SUMS));
         })
     }
 
     fn change_us(&self) -> f64 {
-        let mut known = UpstreamRegistry::default();
-        known.replace(self.listing(), false, self.now);
+        let mut registry = UpstreamRegistry::default();
+        registry.replace(self.listing(), false, self.now);
         let mut version = 1;
         mean_us(|| {
-            let view = known.listing().clone();
+            let view = registry.listing().clone();
             let changed = (0..10).map(|number| {
                 let mut upstream = upstream(number);
                 upstream.slots += version as u32;
@@ -313,13 +331,14 @@
                 after_outage: false,
             };
             version += 1;
-            black_box(known.apply(&delta, self.now));
+            black_box(registry.apply(&delta, self.now));
             black_box(view);
         })
     }
 }
 
-/// Makes the roster of a gateway that heard all others of its data centre.
+/// Creates the roster of a gateway that has received heartbeats of all others
+/// in its data centre.
 fn hub_of_group(number: usize, gateways: usize, now: Millis) -> Roster {
     let mut hub = roster(number);
     let of_group = (0..gateways).filter(|other| {
@@ -328,7 +347,7 @@
     for other in of_group {
         hub.on_heartbeat(address(other), heartbeat(other), now);
     }
-    hub.recompute(own_word(number), now);
+    hub.recompute(local_report(number), now);
     hub
 }
 
@@ -336,18 +355,18 @@
     bytes_of(&Message::Summary(Box::new(summary))) as f64
 }
 
-/// Returns how many bytes the datagrams of a message have.
+/// Returns the total size of the datagrams of a message.
 fn bytes_of(message: &Message) -> usize {
-    let written = message.encode_in_fragments(1).unwrap_or_default();
-    written.iter().map(Vec::len).sum()
+    let datagrams = message.encode_in_fragments(1).unwrap_or_default();
+    datagrams.iter().map(Vec::len).sum()
 }
 
 fn mean_us(mut work: impl FnMut()) -> f64 {
-    let begun = Instant::now();
+    let start = Instant::now();
     for _ in 0..ROUNDS {
         work();
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
 fn address(number: usize) -> SocketAddr {
@@ -378,7 +397,7 @@
     Roster::new(own, 1_500, [])
 }
 
-fn own_word(number: usize) -> LocalReport {
+fn local_report(number: usize) -> LocalReport {
     LocalReport {
         requests: requests(number),
         life: Life::Serving,
@@ -419,7 +438,7 @@
 
 fn upstream(number: usize) -> Upstream {
     let UpstreamStart { id, started_at_ms } = start(number);
-    let models = (0..MODELS_EACH)
+    let models = (0..MODELS_PER_ENGINE)
         .map(|place| ModelName::new(format!("model-{}", number + place)));
     let models = models.map(|model| (model, Default::default())).collect();
     Upstream {
--- a/crates/valehold-gateway/tests/addresses.rs
+++ b/crates/valehold-gateway/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Which gateways callers are told of.
+//! The choice of gateway addresses that a caller is given.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -33,7 +33,7 @@
     Topology::new(DataCentreId::new("north"), regions.collect())
 }
 
-/// Two regions of two data centres each, and a third of one.
+/// Returns two regions of two data centres each, and a third of one.
 fn three_regions() -> Topology {
     topology(&[
         ("n1", "north"),
@@ -44,8 +44,8 @@
     ])
 }
 
-/// Returns whom a caller in a data centre is told of.
-fn told(
+/// Returns the addresses that a caller in a data centre is given.
+fn given(
     ready: &[ReadyMember],
     data_centre: Option<&DataCentreId>,
     rng: &mut StdRng,
@@ -54,9 +54,9 @@
     addresses_for(ready, &caller, &topology(&[]), rng)
 }
 
-/// Returns the last numbers of the addresses of which a caller in a data
-/// centre of three regions is told.
-fn told_in_regions(
+/// Returns the last octets of the addresses that a caller in one of the three
+/// regions is given.
+fn given_in_regions(
     ready: &[ReadyMember],
     data_centre: &str,
     bounds: &[RegionBound],
@@ -68,89 +68,89 @@
         region: None,
         bounds: &bounds,
     };
-    let told = addresses_for(ready, &caller, &three_regions(), &mut rng);
-    told.into_iter().map(number).collect()
+    let given = addresses_for(ready, &caller, &three_regions(), &mut rng);
+    given.into_iter().map(number).collect()
 }
 
 fn number(address: SocketAddr) -> u8 {
     match address {
         SocketAddr::V4(address) => address.ip().octets()[3],
-        SocketAddr::V6(_) => panic!("an address of another family"),
+        SocketAddr::V6(_) => panic!("not an IPv4 address"),
     }
 }
 
 #[gtest]
-fn near_gateways_are_told_of_if_there_are_two() {
+fn a_caller_is_given_its_own_data_centre_if_two_gateways_are_there() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut ready = members("north", 0..2);
     ready.extend(members("south", 2..3));
     let north = DataCentreId::new("north");
     let south = DataCentreId::new("south");
-    expect_that!(told(&ready, Some(&north), &mut rng).len(), eq(2));
-    expect_that!(told(&ready, Some(&south), &mut rng).len(), eq(3));
-    expect_that!(told(&ready, None, &mut rng).len(), eq(3));
+    expect_that!(given(&ready, Some(&north), &mut rng).len(), eq(2));
+    expect_that!(given(&ready, Some(&south), &mut rng).len(), eq(3));
+    expect_that!(given(&ready, None, &mut rng).len(), eq(3));
 }
 
-/// The first 64 of the list were told to everyone, and the others got no
-/// requests.
+/// Every caller was given the first 64 gateways of the list, so the others
+/// received no requests.
 #[gtest]
-fn where_there_are_too_many_all_are_told_of_in_turn() {
+fn with_too_many_gateways_each_caller_is_given_a_random_sample() {
     let mut rng = StdRng::seed_from_u64(1);
     let ready = members("north", 0..200);
     let north = DataCentreId::new("north");
-    let mut told_of = BTreeSet::new();
+    let mut all_given = BTreeSet::new();
     for _ in 0..40 {
-        let told = told(&ready, Some(&north), &mut rng);
-        expect_that!(told.len(), eq(MOST_ADDRESSES));
-        told_of.extend(told);
+        let given = given(&ready, Some(&north), &mut rng);
+        expect_that!(given.len(), eq(MOST_ADDRESSES));
+        all_given.extend(given);
     }
-    expect_that!(told_of.len(), eq(200));
+    expect_that!(all_given.len(), eq(200));
 }
 
 #[gtest]
-fn a_region_is_told_of_where_its_data_centre_has_too_few() {
+fn a_caller_is_given_its_region_if_its_data_centre_has_too_few() {
     let mut ready = members("n1", 0..1);
     ready.extend(members("n2", 1..3));
     ready.extend(members("s1", 3..5));
-    expect_that!(told_in_regions(&ready, "n1", &[]), eq(&vec![0, 1, 2]));
-    expect_that!(told_in_regions(&ready, "n2", &[]), eq(&vec![1, 2]));
-    expect_that!(told_in_regions(&ready, "s2", &[]), eq(&vec![3, 4]));
+    expect_that!(given_in_regions(&ready, "n1", &[]), eq(&vec![0, 1, 2]));
+    expect_that!(given_in_regions(&ready, "n2", &[]), eq(&vec![1, 2]));
+    expect_that!(given_in_regions(&ready, "s2", &[]), eq(&vec![3, 4]));
     let all = vec![0, 1, 2, 3, 4];
-    expect_that!(told_in_regions(&ready, "w1", &[]), eq(&all));
+    expect_that!(given_in_regions(&ready, "w1", &[]), eq(&all));
 }
 
-/// One gateway of a caller's region is no choice, but others may not see what
-/// is bound.
+/// A single gateway leaves a caller no alternative, but gateways of other
+/// regions may not see requests that are bound to regions.
 #[gtest]
-fn a_host_with_bound_routes_keeps_to_the_region_of_the_caller() {
+fn a_host_with_bound_routes_gives_only_the_region_of_the_caller() {
     let mut ready = members("n1", 0..1);
     ready.extend(members("s1", 1..3));
     let bounds = [RegionBound::Anywhere, RegionBound::within(["west"])];
-    expect_that!(told_in_regions(&ready, "n2", &bounds), eq(&vec![0]));
-    expect_that!(told_in_regions(&ready, "n2", &[]), eq(&vec![0, 1, 2]));
+    expect_that!(given_in_regions(&ready, "n2", &bounds), eq(&vec![0]));
+    expect_that!(given_in_regions(&ready, "n2", &[]), eq(&vec![0, 1, 2]));
 }
 
 #[gtest]
-fn without_any_in_its_region_a_caller_is_told_of_those_inside_the_bounds() {
+fn a_caller_without_gateways_in_its_region_is_given_those_inside_the_bounds() {
     let mut ready = members("n1", 0..2);
     ready.extend(members("s1", 2..4));
     let south = [RegionBound::Anywhere, RegionBound::within(["south"])];
-    expect_that!(told_in_regions(&ready, "w1", &south), eq(&vec![2, 3]));
+    expect_that!(given_in_regions(&ready, "w1", &south), eq(&vec![2, 3]));
     let both = [
         RegionBound::within(["south", "north"]),
         RegionBound::within(["south"]),
     ];
-    expect_that!(told_in_regions(&ready, "w1", &both), eq(&vec![2, 3]));
+    expect_that!(given_in_regions(&ready, "w1", &both), eq(&vec![2, 3]));
     let apart =
         [RegionBound::within(["south"]), RegionBound::within(["west"])];
-    expect_that!(told_in_regions(&ready, "w1", &apart), eq(&vec![2, 3]));
+    expect_that!(given_in_regions(&ready, "w1", &apart), eq(&vec![2, 3]));
     let nowhere = [RegionBound::within(["east"])];
     let all = vec![0, 1, 2, 3];
-    expect_that!(told_in_regions(&ready, "w1", &nowhere), eq(&all));
+    expect_that!(given_in_regions(&ready, "w1", &nowhere), eq(&all));
 }
 
 #[gtest]
-fn what_a_caller_says_of_its_region_goes_before_the_declared_one() {
+fn the_region_that_a_caller_states_overrides_the_declared_one() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut ready = members("n1", 0..2);
     ready.extend(members("s1", 2..4));
@@ -160,15 +160,15 @@
         region: Some(&south),
         bounds: &[],
     };
-    let told = addresses_for(&ready, &caller, &three_regions(), &mut rng);
-    let told: Vec<u8> = told.into_iter().map(number).collect();
-    expect_that!(told, eq(&vec![2, 3]));
+    let given = addresses_for(&ready, &caller, &three_regions(), &mut rng);
+    let given: Vec<u8> = given.into_iter().map(number).collect();
+    expect_that!(given, eq(&vec![2, 3]));
 }
 
 proptest! {
-    /// For a caller of any region and a host whose routes share a bound.
+    /// Covers callers of all regions and a host whose routes share a bound.
     #[test]
-    fn bound_bodies_are_seen_elsewhere_only_where_nobody_else_is_left(
+    fn bound_bodies_leave_the_bound_only_if_no_gateway_inside_is_ready(
         places in prop::collection::vec(0..5_usize, 1..12),
         from in 0..5_usize,
         allowed in prop::collection::btree_set(0..3_usize, 1..3),
@@ -194,10 +194,10 @@
             region == own || bound.allows(region)
         };
         let bounds = [bound.clone()];
-        let told = told_in_regions(&ready, DATA_CENTRES[from], &bounds);
-        prop_assert!(!told.is_empty());
+        let given = given_in_regions(&ready, DATA_CENTRES[from], &bounds);
+        prop_assert!(!given.is_empty());
         if places.iter().any(|place| may_see(*place)) {
-            for number in told {
+            for number in given {
                 prop_assert!(may_see(places[usize::from(number)]));
             }
         }
--- a/crates/valehold-gateway/tests/format.rs
+++ b/crates/valehold-gateway/tests/format.rs
@@ -1,4 +1,4 @@
-//! What gateways of two versions make of each other's bytes.
+//! The decoding of datagrams and states from gateways of other versions.
 
 use googletest::prelude::*;
 use valehold_core::fleet::{Asked, RegionBound, Variant};
@@ -10,18 +10,18 @@
 use valehold_ports::PortErrorKind;
 
 #[gtest]
-fn a_datagram_is_read_as_it_was_written() {
-    let wish = Message::LoadRequest(Asked {
+fn a_datagram_decodes_to_the_encoded_message() {
+    let message = Message::LoadRequest(Asked {
         bound: RegionBound::within(["north"]),
         variant: Variant::adapted("alpha", "a1"),
     });
-    let bytes = wish.encode().unwrap();
+    let bytes = message.encode().unwrap();
     expect_that!(bytes[0], eq(FORMAT));
-    expect_that!(Message::decode(&bytes).unwrap(), eq(&wish));
+    expect_that!(Message::decode(&bytes).unwrap(), eq(&message));
 }
 
 #[gtest]
-fn another_format_is_told_from_a_broken_datagram() {
+fn another_format_is_distinguished_from_a_malformed_datagram() {
     let mut bytes = Message::Relay(vec![1, 2, 3]).encode().unwrap();
     expect_that!(Message::decode(&[]), err(pat!(MessageError::Empty)));
     expect_that!(
@@ -33,14 +33,15 @@
         Message::decode(&bytes),
         err(pat!(MessageError::OtherFormat { format: eq(&(FORMAT + 1)) }))
     );
-    // The first byte of the datagrams before there was a format.
+    // Datagrams had no number of a format at first, and began with the index of
+    // the message's variant.
     for first in 0..8 {
         expect_true!(Message::decode(&[first, 0, 0]).is_err());
     }
 }
 
 #[gtest]
-fn what_is_too_large_for_a_datagram_says_so() {
+fn encoding_fails_if_a_message_is_too_large_for_a_datagram() {
     let large = Message::Relay(vec![0; MAX_DATAGRAM]);
     expect_that!(large.encode(), err(pat!(MessageError::TooLarge { .. })));
 }
--- a/crates/valehold-gateway/tests/outbox.rs
+++ b/crates/valehold-gateway/tests/outbox.rs
@@ -1,4 +1,4 @@
-//! Datagrams that find no room at once, and messages that need several.
+//! The queue of outgoing datagrams, and messages in several fragments.
 
 use std::net::SocketAddr;
 
@@ -25,30 +25,32 @@
     Datagram { to: to(number), bytes, label: "summary" }
 }
 
-/// A socket with room for so many bytes.
+/// A socket whose buffer has a number of free bytes.
 struct Socket {
-    room: usize,
-    taken: Vec<u16>,
+    free_bytes: usize,
+    sent_to: Vec<u16>,
 }
 
 impl Socket {
     fn send(&mut self, datagram: &Datagram) -> SendOutcome {
-        let Some(room) = self.room.checked_sub(datagram.bytes.len()) else {
+        let Some(free_bytes) =
+            self.free_bytes.checked_sub(datagram.bytes.len())
+        else {
             return SendOutcome::WouldBlock;
         };
-        self.room = room;
-        self.taken.push(datagram.to.port());
+        self.free_bytes = free_bytes;
+        self.sent_to.push(datagram.to.port());
         SendOutcome::Accepted
     }
 }
 
-// A hub tells its group in one go. What found no room in the socket was
-// dropped, and the group is walked in the same order each time: beyond some
-// 200 KB the same gateways heard nothing, time and again.
+// A hub sends to its whole group at once, in the same order each time.
+// Datagrams that did not fit into the socket's buffer were dropped, so beyond
+// some 200 KB the same gateways never received anything.
 #[gtest]
-fn a_hub_tells_all_of_its_group_although_the_socket_takes_a_few_at_once() {
+fn a_hub_reaches_its_whole_group_although_the_socket_buffer_is_small() {
     let mut outbox = Outbox::new(20.0);
-    let mut socket = Socket { room: 200_000, taken: Vec::new() };
+    let mut socket = Socket { free_bytes: 200_000, sent_to: Vec::new() };
     let group = 330;
     for number in 0..group {
         let sent =
@@ -57,36 +59,36 @@
             });
         expect_true!(sent);
     }
-    expect_that!(socket.taken.len(), eq(200));
+    expect_that!(socket.sent_to.len(), eq(200));
     expect_that!(outbox.bytes(), eq(130_000));
-    socket.room = 200_000;
+    socket.free_bytes = 200_000;
     outbox.flush(|one| socket.send(one));
     expect_true!(outbox.is_empty());
     expect_that!(outbox.bytes(), eq(0));
-    expect_that!(socket.taken, eq(&Vec::from_iter(0..group)));
+    expect_that!(socket.sent_to, eq(&Vec::from_iter(0..group)));
 }
 
 #[gtest]
-fn what_is_told_once_goes_before_what_is_told_again() {
+fn datagrams_sent_once_go_before_periodic_ones() {
     let mut outbox = Outbox::new(20.0);
-    let mut socket = Socket { room: 0, taken: Vec::new() };
+    let mut socket = Socket { free_bytes: 0, sent_to: Vec::new() };
     for (number, urgency) in
         [(1, Urgency::Regular), (2, Urgency::Once), (3, Urgency::Once)]
     {
         outbox.send(datagram(number, 10), urgency, |one| socket.send(one));
     }
-    socket.room = 20;
+    socket.free_bytes = 20;
     outbox.flush(|one| socket.send(one));
-    expect_that!(socket.taken, eq(&vec![2, 3]));
-    socket.room = 20;
-    // One that comes now goes first as well.
+    expect_that!(socket.sent_to, eq(&vec![2, 3]));
+    socket.free_bytes = 20;
+    // A later datagram that is sent once also goes first.
     outbox.send(datagram(4, 10), Urgency::Once, |one| socket.send(one));
     outbox.flush(|one| socket.send(one));
-    expect_that!(socket.taken, eq(&vec![2, 3, 4, 1]));
+    expect_that!(socket.sent_to, eq(&vec![2, 3, 4, 1]));
 }
 
 #[gtest]
-fn no_more_waits_than_the_link_carries_in_a_second() {
+fn the_queue_holds_no_more_than_the_link_carries_in_a_second() {
     let mut outbox = Outbox::new(1.0);
     let mut waiting = 0;
     for number in 0..1_000 {
@@ -110,56 +112,58 @@
     Message::Holdings(holdings.collect())
 }
 
-// What was larger than a datagram was logged and dropped: what some thousand
-// engines hold after a data centre came back.
+// Messages larger than a datagram were logged and dropped, such as the holdings
+// of some thousand engines after a data centre recovered.
 #[gtest]
 fn a_message_of_any_size_arrives() {
     for count in [1, 1_000, 8_000, 40_000] {
         let message = holdings(count);
         let datagrams = message.encode_in_fragments(7).unwrap();
         expect_true!(datagrams.iter().all(|one| fits(one)));
-        expect_that!(arrived(&datagrams), some(eq(&message)));
+        expect_that!(received(&datagrams), some(eq(&message)));
     }
 }
 
 fn fits(datagram: &[u8]) -> bool {
-    // A hub passes it on inside another one, and only as a whole.
+    // A hub wraps the datagram in a relay, which is not fragmented itself.
     let relay = Message::Relay(datagram.to_vec());
     let written = relay.encode_in_fragments(8).unwrap();
     written.len() == 1 && written[0].len() <= MAX_DATAGRAM
 }
 
-/// Returns the message that some datagrams carry, in this order.
-fn arrived(datagrams: &[Vec<u8>]) -> Option<Message> {
-    let mut fragments = Reassembler::default();
-    let mut arrived = None;
+/// Returns the message that a receiver decodes from datagrams in this order;
+/// `None` if it stays incomplete.
+fn received(datagrams: &[Vec<u8>]) -> Option<Message> {
+    let mut reassembler = Reassembler::default();
+    let mut received = None;
     for bytes in datagrams {
         match Message::decode(bytes).unwrap() {
             Message::Fragment(one) => {
-                if let Some(bytes) = fragments.push(one) {
-                    arrived = Some(Message::decode(&bytes).unwrap());
+                if let Some(bytes) = reassembler.push(one) {
+                    received = Some(Message::decode(&bytes).unwrap());
                 }
             }
-            whole => arrived = Some(whole),
+            whole => received = Some(whole),
         }
     }
-    arrived
+    received
 }
 
 #[gtest]
-fn fragments_may_come_in_any_order_and_twice_but_not_be_lost() {
+fn fragments_may_be_reordered_and_duplicated_but_not_lost() {
     let message = holdings(8_000);
     let datagrams = message.encode_in_fragments(7).unwrap();
     expect_that!(datagrams.len(), ge(3));
-    let mut turned: Vec<Vec<u8>> = datagrams.iter().rev().cloned().collect();
-    turned.push(datagrams[0].clone());
-    expect_that!(arrived(&turned), some(eq(&message)));
-    expect_that!(arrived(&datagrams[1..]), none());
+    let mut reordered: Vec<Vec<u8>> =
+        datagrams.iter().rev().cloned().collect();
+    reordered.push(datagrams[0].clone());
+    expect_that!(received(&reordered), some(eq(&message)));
+    expect_that!(received(&datagrams[1..]), none());
 }
 
 #[gtest]
-fn fragments_that_never_come_are_given_up_for_later_messages() {
-    let mut fragments = Reassembler::default();
+fn incomplete_messages_are_evicted_by_later_ones() {
+    let mut reassembler = Reassembler::default();
     let fragment = |number: u64, index: usize| {
         let datagrams = holdings(8_000).encode_in_fragments(number).unwrap();
         match Message::decode(&datagrams[index]).unwrap() {
@@ -168,14 +172,14 @@
         }
     };
     for number in 0..20 {
-        expect_that!(fragments.push(fragment(number, 0)), none());
+        expect_that!(reassembler.push(fragment(number, 0)), none());
     }
     let count = holdings(8_000).encode_in_fragments(0).unwrap().len();
-    // The newest is still put together, the oldest is not.
-    let last =
-        (1..count).map(|index| fragments.push(fragment(19, index))).last();
-    expect_that!(last, some(some(anything())));
-    let first =
-        (1..count).map(|index| fragments.push(fragment(0, index))).last();
-    expect_that!(first, some(none()));
+    // The newest message can still be completed, the oldest was evicted.
+    let newest =
+        (1..count).map(|index| reassembler.push(fragment(19, index))).last();
+    expect_that!(newest, some(some(anything())));
+    let oldest =
+        (1..count).map(|index| reassembler.push(fragment(0, index))).last();
+    expect_that!(oldest, some(none()));
 }
