--- a/crates/valehold-gateway/src/control/crashes.rs
+++ b/crates/valehold-gateway/src/control/crashes.rs
@@ -130,7 +130,7 @@
                 self.record.has_read = true;
                 self.record.forgotten.extend(done.forgotten);
                 self.shared
-                    .change_crashes(|book| book.receive_recorded(named, now));
+                    .update_crashes(|book| book.receive_recorded(named, now));
             }
             Err(error) => {
                 log::debug!("the record of refused requests: {error}");
@@ -189,7 +189,7 @@
 
     /// Takes in what a peer tells of crashes.
     pub(super) fn hear_crashes(&self, words: &CrashReports, now: Millis) {
-        self.shared.change_crashes(|book| book.receive(words, now));
+        self.shared.update_crashes(|book| book.receive(words, now));
     }
 }
 
--- a/crates/valehold-gateway/src/control/lease.rs
+++ b/crates/valehold-gateway/src/control/lease.rs
@@ -41,7 +41,7 @@
 use super::input::{Input, SentLeaseWrite};
 use crate::{
     events::Event,
-    peers::message::{LeaseRumour, LeaseWord},
+    peers::message::{LeaseClaim, LeaseReport},
 };
 
 /// The times of the lease: contenders wait for the whole term, and the holder
@@ -238,12 +238,12 @@
 
     /// Returns what this gateway reports to peers: that it holds the lease or
     /// has released it, or `None` if it has done neither.
-    pub(super) fn claim(&self, now: Millis) -> Option<LeaseWord> {
+    pub(super) fn claim(&self, now: Millis) -> Option<LeaseClaim> {
         if let Some(epoch) = self.held_epoch(now) {
             let version = self.version;
-            return Some(LeaseWord::Holds { epoch, version });
+            return Some(LeaseClaim::Holds { epoch, version });
         }
-        self.own_release.map(|released| LeaseWord::GaveUp {
+        self.own_release.map(|released| LeaseClaim::Released {
             epoch: released.epoch,
             quiet_ms: released.next_orders_from.since(now),
         })
@@ -252,18 +252,18 @@
     /// Handles a peer's report about the lease.
     pub(super) fn on_lease_report(
         &mut self,
-        report: LeaseRumour,
+        report: LeaseReport,
         now: Millis,
     ) {
-        match report.word {
-            LeaseWord::Holds { version, .. } => {
+        match report.claim {
+            LeaseClaim::Holds { version, .. } => {
                 // The time of receipt is later than that of the report, so
                 // the holder's whole term is waited for.
                 let previous =
                     self.reported_version.filter(|(v, _)| *v >= version);
                 self.reported_version = previous.or(Some((version, now)));
             }
-            LeaseWord::GaveUp { epoch, quiet_ms } => {
+            LeaseClaim::Released { epoch, quiet_ms } => {
                 let next_orders_from = now + quiet_ms;
                 self.peer_release =
                     Some(ReleasedEpoch { epoch, next_orders_from });
--- a/crates/valehold-gateway/src/control/loads.rs
+++ b/crates/valehold-gateway/src/control/loads.rs
@@ -13,9 +13,10 @@
 use super::Control;
 use crate::{
     peers::{
-        WordNumber,
+        MessageNumber,
         message::{
-            GroupLoads, HubNews, LoadNews, LoadReport, Message, UpstreamLoad,
+            GroupLoads, HubUpdate, LoadReport, LoadUpdate, Message,
+            UpstreamLoad,
         },
         roster::sums::{load_list, loads_by_upstream},
     },
@@ -64,7 +65,8 @@
         let rulings = self.rule_limits(now);
         let own = self.loads_to_report();
         self.sequence += 1;
-        let number = WordNumber { start: self.start, sequence: self.sequence };
+        let number =
+            MessageNumber { start: self.start, sequence: self.sequence };
         if !self.roster.remote_hubs().is_empty() {
             let sums = self.roster.sum_group_loads(&own, now);
             let usage = self.group_usage(now);
@@ -74,7 +76,7 @@
                 number,
                 usage,
                 data_centre: self.shared.settings.data_centre.clone(),
-                news: advertised.next_update(&sums, MAX_SUMS_PER_UPDATE),
+                loads: advertised.next_update(&sums, MAX_SUMS_PER_UPDATE),
             });
             let hubs = self.roster.remote_hubs().iter().copied();
             self.send(hubs, &message);
@@ -82,19 +84,19 @@
         let sums = self.roster.sum_loads(&own, now);
         let loads = match self.reports_between_heartbeats() {
             true => self.told_sums.next_update(&sums, MAX_SUMS_PER_UPDATE),
-            false => LoadNews::default(),
+            false => LoadUpdate::default(),
         };
         let group = self.roster.summary_targets();
         let paces = self.pace_news(now);
-        let update = HubNews { number, loads, rulings, paces };
-        self.send(group, &Message::HubNews(update));
+        let update = HubUpdate { number, loads, throttles: rulings, paces };
+        self.send(group, &Message::HubUpdate(update));
     }
 
     /// Reports the loads and usage of this gateway to hubs if they changed.
     fn send_load_report(&mut self, now: Millis) {
         let loads = self.loads_to_report();
         let usage = self.usage_news(now);
-        let paces = self.shared.take_seen_paces();
+        let paces = self.shared.take_pace_observations();
         let reported = loads_by_upstream(&loads);
         let is_unchanged = reported == self.told_loads;
         if is_unchanged && usage.is_empty() && paces.is_empty() {
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -81,8 +81,8 @@
     events::{Event, WordSource},
     peers::{
         Roster,
-        fragments::Fragments,
-        message::{Duty, MAX_DATAGRAM, Message, Rank, StoreSight},
+        fragments::Reassembler,
+        message::{Duty, MAX_DATAGRAM, Message, Rank, StoreStatus},
         outbox::Outbox,
         roster::{
             LocalMember, LocalReport,
@@ -92,7 +92,7 @@
         state,
     },
     settings::Settings,
-    shared::{Shared, Wishes},
+    shared::{ControlReceivers, Shared},
     view::Life,
 };
 
@@ -126,7 +126,7 @@
     /// Where peers read state.
     pub state: TcpListener,
     /// Wishes of requests that wait.
-    pub wishes: Wishes,
+    pub wishes: ControlReceivers,
     /// Whether this gateway was told to stop.
     pub stop: watch::Receiver<bool>,
     /// The newest seeds.
@@ -140,7 +140,7 @@
     /// Datagrams that wait for room in the socket.
     outbox: RefCell<Outbox>,
     /// Messages of which fragments have not arrived.
-    fragments: Fragments,
+    fragments: Reassembler,
     placing: PlacementSchedule,
     inputs: mpsc::UnboundedSender<Input>,
     roster: Roster,
@@ -158,7 +158,7 @@
     told_evacuations: BTreeSet<DataCentreId>,
     upstreams: UpstreamRegistry,
     watch_orders: Rc<WatchOrders>,
-    store: StoreSight,
+    store: StoreStatus,
     store_presence: StoreAvailability,
     /// How often the store came back from a copy, once it is known.
     store_era: Option<u64>,
@@ -260,7 +260,7 @@
             ),
             socket,
             outbox: RefCell::new(Outbox::new(settings.peers.link_mbps)),
-            fragments: Fragments::default(),
+            fragments: Reassembler::default(),
             placing: PlacementSchedule::default(),
             inputs,
             lease,
@@ -276,7 +276,7 @@
             told_evacuations: BTreeSet::new(),
             upstreams: UpstreamRegistry::default(),
             watch_orders,
-            store: StoreSight::Unknown,
+            store: StoreStatus::Unknown,
             store_presence: StoreAvailability::default(),
             store_era: None,
             behind: Behind::new(is_seed, now),
@@ -305,7 +305,7 @@
     async fn follow(
         mut self,
         mut taken: mpsc::UnboundedReceiver<Input>,
-        mut wishes: Wishes,
+        mut wishes: ControlReceivers,
         mut stop: watch::Receiver<bool>,
         mut new_seeds: watch::Receiver<Vec<SocketAddr>>,
     ) {
@@ -326,13 +326,13 @@
                     self.place_if_requested();
                     self.publish_if_due();
                 }
-                Some(wish) = wishes.variants.recv() => self.wish(wish),
-                Some(ask) = wishes.rights.recv() => self.ask_right(ask),
+                Some(wish) = wishes.load_requests.recv() => self.wish(wish),
+                Some(ask) = wishes.permit_requests.recv() => self.ask_right(ask),
                 Some(start) = wishes.leaving.recv() => {
                     let now = self.now();
                     self.hear_leaving(&[start], WordSource::Answer, now);
                 }
-                Some(start) = wishes.limits.recv() => self.limit_stated(&start),
+                Some(start) = wishes.limit_changes.recv() => self.limit_stated(&start),
                 Ok(()) = stop.changed() => self.stop(),
                 Ok(()) = new_seeds.changed() => {
                     let own = self.shared.settings.peers.heartbeats;
@@ -433,7 +433,7 @@
                 self.store_failed(&error, lasted, now);
             }
             Input::CatalogUpdated { version, catalog, evacuations } => {
-                let was_lost = self.store == StoreSight::Fails;
+                let was_lost = self.store == StoreStatus::Unreachable;
                 self.store_heard(now);
                 self.note_era(version);
                 self.evacuate_by_store(evacuations, was_lost, now);
@@ -497,7 +497,7 @@
             self.request_placement();
             self.place_if_requested();
         } else if let Some(holder) = self.roster.lease_holder(now) {
-            self.send([holder], &Message::Wish(asked));
+            self.send([holder], &Message::LoadRequest(asked));
         }
     }
 
--- a/crates/valehold-gateway/src/control/needs.rs
+++ b/crates/valehold-gateway/src/control/needs.rs
@@ -41,7 +41,7 @@
     let mut needs = ModelNeeds::new();
     for (variant, demand) in matching.flat_map(|(_, variants)| variants) {
         let need = needs.entry(variant.model.clone()).or_default();
-        need.busy_engines += f64::from(demand.busy);
+        need.busy_engines += f64::from(demand.busy_engines);
         if variant.adapter.is_some() {
             need.adapters_in_use += probability_in_use(demand);
         }
@@ -84,7 +84,7 @@
 /// requests is in use if a request arrived within the last
 /// [`ADAPTER_USE_S`].
 fn probability_in_use(demand: &VariantDemand) -> f64 {
-    let requests = f64::from(demand.requests);
+    let requests = f64::from(demand.requests_per_second);
     match demand.running {
         0 => 1.0 - (-requests * ADAPTER_USE_S).exp(),
         _ => 1.0,
--- a/crates/valehold-gateway/src/control/placement.rs
+++ b/crates/valehold-gateway/src/control/placement.rs
@@ -88,7 +88,7 @@
         {
             let limits = self.shared.upstream_limits();
             self.placer.update_restrictions(
-                &self.shared.rests(),
+                &self.shared.backoffs(),
                 &limits,
                 now,
             );
--- a/crates/valehold-gateway/src/control/placer/adapters.rs
+++ b/crates/valehold-gateway/src/control/placer/adapters.rs
@@ -91,7 +91,7 @@
         let mut request_rates: BTreeMap<&ModelName, f64> = BTreeMap::new();
         for (variant, variant_demand) in demand.values().flatten() {
             let requests = request_rates.entry(&variant.model).or_default();
-            *requests += f64::from(variant_demand.requests);
+            *requests += f64::from(variant_demand.requests_per_second);
         }
         let requests = |model: &ModelName| {
             request_rates.get(model).copied().unwrap_or(0.0)
@@ -277,7 +277,8 @@
     for variant_demand in
         demand.values().filter_map(|variants| variants.get(variant))
     {
-        usage.requests_per_second += f64::from(variant_demand.requests);
+        usage.requests_per_second +=
+            f64::from(variant_demand.requests_per_second);
         usage.is_running |= variant_demand.running > 0;
     }
     usage
--- a/crates/valehold-gateway/src/control/upstreams.rs
+++ b/crates/valehold-gateway/src/control/upstreams.rs
@@ -42,7 +42,7 @@
             after_outage,
         };
         if self.take_delta(&delta, now) {
-            self.send_all(&Message::Listed(delta));
+            self.send_all(&Message::ListingChanged(delta));
         }
     }
 
