--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -1,10 +1,12 @@
-//! Which upstreams may get a request at all.
+//! Filters for the upstreams that are eligible to receive a request.
 //!
-//! Those outside the regions that bind it never do, and those in a data centre
-//! that is to be empty none from a moment after this gateway heard so. Until
-//! then they get what no other upstream can take. One that asked this gateway
-//! for rest gets nothing until that is over, and one that is cold or in need a
-//! request only with a right to send to it.
+//! An upstream outside the request's region bound is never eligible. An
+//! upstream in an evacuating data centre receives only requests that no other
+//! upstream can take; shortly after this gateway learns of the evacuation, the
+//! data centre counts as evacuated and its upstreams receive no requests. An
+//! upstream that requested a backoff from this gateway is not eligible until
+//! the backoff ends. An upstream that is cold or rate-limited receives a
+//! request only with a send permit.
 
 use std::{borrow::Cow, sync::Arc};
 
@@ -25,50 +27,51 @@
     view::View,
 };
 
-/// Returns the regions that bind a request now.
+/// Returns the region bound that applies to the next send of a request.
 ///
-/// Of the configuration under which it came and the one in force the stricter
-/// holds: a bound that is set while a request is under way holds for its next
-/// send, and one that is lifted frees only requests that come later.
-pub(in super::super) fn bound_now<'a>(
+/// The result is the intersection of the bound in the catalog under which the
+/// request arrived and the bound in the current catalog. A bound that is added
+/// while a request is in flight therefore applies to the next send of the
+/// request, and a bound that is removed affects only later requests.
+pub(in super::super) fn current_bound<'a>(
     view: &View,
     job: &'a Job,
 ) -> Cow<'a, RegionBound> {
-    let newest = view.catalog.as_ref();
-    let Some(newest) =
-        newest.filter(|newest| newest.version != job.catalog.version)
+    let current = view.catalog.as_ref();
+    let Some(current) =
+        current.filter(|current| current.version != job.catalog.version)
     else {
         return Cow::Borrowed(&job.bound);
     };
     let workspace = job.workspace.as_ref().map(|one| &one.name);
     let path = job.head.uri.path();
-    let bound = newest.bound_of(&job.route.host, path, workspace);
+    let bound = current.bound_of(&job.route.host, path, workspace);
     Cow::Owned(job.bound.and(&bound))
 }
 
-/// Returns how many upstreams outside the regions that bind a request hold
-/// what it asks for.
-pub(in super::super) fn able_elsewhere(
+/// Returns the number of upstreams outside a request's region bound that hold
+/// the requested model, or that serve the service if it runs no models.
+pub(in super::super) fn holders_outside_bound(
     app: &App,
     view: &View,
     job: &Job,
 ) -> usize {
-    let staying = |one: &&Arc<Upstream>| !one.leaving;
-    let holding = all_holders(view, job).filter(staying).count();
+    let is_staying = |one: &&Arc<Upstream>| !one.leaving;
+    let holding = all_holders(view, job).filter(is_staying).count();
     let inside = only_inside_bound(app, view, job, all_holders(view, job));
-    holding.saturating_sub(inside.filter(staying).count())
+    holding.saturating_sub(inside.filter(is_staying).count())
 }
 
-/// Tells whether all upstreams of a request's service are outside the regions
-/// that bind it.
-pub(super) fn all_are_elsewhere(app: &App, view: &View, job: &Job) -> bool {
+/// Returns whether the service of a request has upstreams and all of them are
+/// outside the request's region bound.
+pub(super) fn all_outside_bound(app: &App, view: &View, job: &Job) -> bool {
     of_service(view, job).next().is_some()
         && only_inside_bound(app, view, job, of_service(view, job))
             .next()
             .is_none()
 }
 
-/// Returns the upstreams of a request's service that take new work.
+/// Returns the upstreams of a request's service that are not leaving.
 fn of_service<'a>(
     view: &'a View,
     job: &'a Job,
@@ -77,8 +80,9 @@
     all.filter(|upstream| !upstream.leaving)
 }
 
-/// Returns the upstreams of a request's service that hold what it asks for,
-/// those that leave among them.
+/// Returns the upstreams of a request's service that hold the requested model
+/// and adapter, including upstreams that are leaving. For a plain service,
+/// returns all upstreams of the service.
 fn all_holders<'a>(
     view: &'a View,
     job: &'a Job,
@@ -97,7 +101,7 @@
     of_model.chain(of_service.into_iter().flatten())
 }
 
-/// Leaves out upstreams outside the regions that bind a request.
+/// Removes the upstreams outside a request's region bound.
 fn only_inside_bound<'a>(
     app: &'a App,
     view: &'a View,
@@ -105,15 +109,15 @@
     upstreams: impl Iterator<Item = &'a Arc<Upstream>>,
 ) -> impl Iterator<Item = &'a Arc<Upstream>> {
     let topology = &app.shared.topology;
-    let bound = bound_now(view, job);
+    let bound = current_bound(view, job);
     upstreams.filter(move |upstream| {
         bound.allows(topology.region_of(&upstream.data_centre))
     })
 }
 
-/// Returns the upstreams of a request's service that may get it, whatever they
-/// hold: inside the regions that bind it, and not in data centres that are
-/// empty.
+/// Returns the upstreams of a request's service that are not leaving, are
+/// inside the request's region bound and are not in an evacuated data centre,
+/// regardless of the models that the upstreams hold.
 pub(in super::super) fn usable<'a>(
     app: &'a App,
     view: &'a View,
@@ -122,8 +126,8 @@
     only_usable(app, view, job, of_service(view, job))
 }
 
-/// Leaves out upstreams outside the regions that bind a request, and those in
-/// data centres that are empty.
+/// Removes the upstreams outside a request's region bound and the upstreams in
+/// evacuated data centres.
 fn only_usable<'a>(
     app: &'a App,
     view: &'a View,
@@ -136,23 +140,24 @@
     })
 }
 
-/// Leaves out upstreams in data centres that are to be empty, where there are
-/// others.
-pub(super) fn staying<T: AsRef<Upstream>>(
+/// Removes the upstreams in evacuating data centres, unless no other upstream
+/// would remain.
+pub(super) fn prefer_not_evacuating<T: AsRef<Upstream>>(
     view: &View,
     upstreams: Vec<T>,
 ) -> Vec<T> {
     if !view.evacuations.any_evacuating() {
         return upstreams;
     }
-    let is_emptying =
+    let is_evacuating =
         |one: &T| view.evacuations.is_evacuating(&one.as_ref().data_centre);
-    let (emptying, staying): (Vec<_>, Vec<_>) =
-        upstreams.into_iter().partition(is_emptying);
-    if staying.is_empty() { emptying } else { staying }
+    let (evacuating, remaining): (Vec<_>, Vec<_>) =
+        upstreams.into_iter().partition(is_evacuating);
+    if remaining.is_empty() { evacuating } else { remaining }
 }
 
-/// Returns those that hold what a request asks for.
+/// Returns the usable upstreams that hold the model and adapter that a request
+/// asks for. For a plain service, returns all usable upstreams.
 pub(in super::super) fn holders<'a>(
     app: &'a App,
     view: &'a View,
@@ -162,23 +167,23 @@
     only_usable(app, view, job, staying)
 }
 
-/// How many upstreams that were passed over a request's line names: a line has
-/// room for all that hold a usual model.
-const MOST_PASSED_OVER: usize = 16;
+/// The maximum number of passed-over upstreams that the log line of a request
+/// lists. This is enough for all holders of a typical model.
+const MAX_PASSED_OVER: usize = 16;
 
-/// Returns which upstreams inside the regions that bind a request hold what it
-/// asks for and cannot get it, and why.
+/// Returns the upstreams inside a request's region bound that hold the
+/// requested model but are not eligible, each with the reason.
 pub(in super::super) fn passed_over(
     app: &App,
     view: &View,
     job: &Job,
 ) -> Vec<PassedOver> {
-    let able = only_inside_bound(app, view, job, all_holders(view, job));
-    let passed_over = able.filter_map(|one| {
+    let holders = only_inside_bound(app, view, job, all_holders(view, job));
+    let passed_over = holders.filter_map(|one| {
         let reason = passed_over_for(app, one)?;
         Some(PassedOver { upstream: one.id.clone(), reason })
     });
-    passed_over.take(MOST_PASSED_OVER).collect()
+    passed_over.take(MAX_PASSED_OVER).collect()
 }
 
 fn passed_over_for(app: &App, one: &Upstream) -> Option<PassedOverFor> {
@@ -190,28 +195,30 @@
         return Some(PassedOverFor::Resting);
     }
     let is_limited = rights::is_limited(app, one);
-    let sight = app.shared.cold().permit_state(&one.id, is_limited, now);
-    let has_none = matches!(sight, PermitState::Unavailable { .. });
-    (is_limited && has_none).then_some(PassedOverFor::Limited)
+    let permit = app.shared.cold().permit_state(&one.id, is_limited, now);
+    let is_unavailable = matches!(permit, PermitState::Unavailable { .. });
+    (is_limited && is_unavailable).then_some(PassedOverFor::Limited)
 }
 
-/// An upstream that may get a request.
+/// An upstream that is eligible to receive a request.
 #[derive(Clone, Copy)]
-pub(super) struct Able<'a> {
+pub(super) struct EligibleUpstream<'a> {
     pub(super) upstream: &'a Arc<Upstream>,
-    /// How many requests a second it takes, if it is cold or in need: a right
-    /// to send to it is needed.
+    /// The number of requests per second that the upstream accepts, if the
+    /// upstream is cold or rate-limited. Sending then requires a permit.
     pub(super) per_second: Option<f64>,
 }
 
-impl AsRef<Upstream> for Able<'_> {
+impl AsRef<Upstream> for EligibleUpstream<'_> {
     fn as_ref(&self) -> &Upstream {
         self.upstream
     }
 }
 
-/// Leaves out upstreams that asked this gateway for rest.
-pub(super) fn awake<'a>(
+/// Removes the upstreams that are in a backoff requested from this gateway.
+///
+/// Returns [`NoChoice::AllBackingOff`] if no upstream remains.
+pub(super) fn not_backing_off<'a>(
     app: &App,
     upstreams: Vec<&'a Arc<Upstream>>,
 ) -> Result<Vec<&'a Arc<Upstream>>, NoChoice> {
@@ -219,11 +226,11 @@
     if rests.is_empty() {
         return Ok(upstreams);
     }
-    let mut awake = Vec::new();
+    let mut ready = Vec::new();
     let mut soonest_ms: Option<u64> = None;
     for upstream in upstreams {
         match rests.state(&upstream.start(), now) {
-            BackoffState::Ready => awake.push(upstream),
+            BackoffState::Ready => ready.push(upstream),
             BackoffState::BackingOff { remaining_ms: left_ms } => {
                 let soonest = soonest_ms.map_or(left_ms, |s| s.min(left_ms));
                 soonest_ms = Some(soonest);
@@ -231,71 +238,79 @@
         }
     }
     match soonest_ms {
-        Some(next_ms) if awake.is_empty() => {
-            Err(NoChoice::AllResting { next_ms })
+        Some(retry_after_ms) if ready.is_empty() => {
+            Err(NoChoice::AllBackingOff { retry_after_ms })
         }
-        _ => Ok(awake),
+        _ => Ok(ready),
     }
 }
 
-/// Returns the upstreams that were not tried, less those to which a right to
-/// send is needed and none to be had now.
-pub(super) fn able<'a>(
+/// Returns the upstreams that were not tried, without the upstreams that
+/// require a send permit while no permit is available.
+///
+/// If every untried upstream lacks a permit, returns the error of the upstream
+/// whose permit becomes available first.
+pub(super) fn eligible<'a>(
     app: &App,
     job: &Job,
     upstreams: impl Iterator<Item = &'a Arc<Upstream>>,
     tried: &[UpstreamId],
-) -> Result<Vec<Able<'a>>, NoChoice> {
+) -> Result<Vec<EligibleUpstream<'a>>, NoChoice> {
     let untried = upstreams.filter(|one| !tried.contains(&one.id));
     let limits = app.shared.upstream_limits();
     let cold = job.cold_spec();
     if cold.is_none() && limits.is_empty() {
-        let free = |upstream| Able { upstream, per_second: None };
-        return Ok(untried.map(free).collect());
+        let unlimited =
+            |upstream| EligibleUpstream { upstream, per_second: None };
+        return Ok(untried.map(unlimited).collect());
     }
-    let (book, now) = (app.shared.cold(), app.now());
-    let mut able = Vec::new();
+    let (permits, now) = (app.shared.cold(), app.now());
+    let mut eligible = Vec::new();
     let mut soonest: Option<(u64, NoChoice)> = None;
     for upstream in untried {
         let limit = limits.rate(&upstream.start());
         let limit = limit.map(RequestRate::per_second);
-        let cold = cold.filter(|_| book.estimate.is_cold(&upstream.id, now));
-        let bears = cold.map(|cold| cold.bears_per_second);
-        let per_second = [limit, bears].into_iter().flatten().reduce(f64::min);
+        let cold =
+            cold.filter(|_| permits.estimate.is_cold(&upstream.id, now));
+        let cold_rate = cold.map(|cold| cold.bears_per_second);
+        let per_second =
+            [limit, cold_rate].into_iter().flatten().reduce(f64::min);
         let no_choice =
-            match book.permit_state(&upstream.id, limit.is_some(), now) {
+            match permits.permit_state(&upstream.id, limit.is_some(), now) {
                 PermitState::NotNeeded | PermitState::Needed => {
-                    able.push(Able { upstream, per_second });
+                    eligible.push(EligibleUpstream { upstream, per_second });
                     continue;
                 }
-                PermitState::Unavailable { retry_after_ms: next_ms }
+                PermitState::Unavailable { retry_after_ms }
                     if limit.is_some() =>
                 {
-                    (next_ms, NoChoice::AllLimited { next_ms })
+                    (retry_after_ms, NoChoice::AllLimited { retry_after_ms })
                 }
-                PermitState::Unavailable { retry_after_ms: next_ms } => {
-                    (next_ms, NoChoice::AllCold { next_ms })
+                PermitState::Unavailable { retry_after_ms } => {
+                    (retry_after_ms, NoChoice::AllCold { retry_after_ms })
                 }
             };
-        if soonest.is_none_or(|(next_ms, _)| no_choice.0 < next_ms) {
+        if soonest
+            .is_none_or(|(retry_after_ms, _)| no_choice.0 < retry_after_ms)
+        {
             soonest = Some(no_choice);
         }
     }
     match soonest {
-        Some((_, no_choice)) if able.is_empty() => Err(no_choice),
-        _ => Ok(able),
+        Some((_, no_choice)) if eligible.is_empty() => Err(no_choice),
+        _ => Ok(eligible),
     }
 }
 
-/// Leaves those that turned such a request away lately only where no other
-/// one is left.
-pub(super) fn unless_turned_away<'a>(
+/// Removes the upstreams that recently rejected a request for this variant,
+/// unless no other upstream would remain.
+pub(super) fn prefer_not_rejecting<'a>(
     app: &App,
-    able: Vec<Able<'a>>,
+    eligible: Vec<EligibleUpstream<'a>>,
     variant: Option<&Variant>,
-) -> Vec<Able<'a>> {
-    let (noted, able): (Vec<_>, Vec<_>) = able
+) -> Vec<EligibleUpstream<'a>> {
+    let (rejecting, others): (Vec<_>, Vec<_>) = eligible
         .into_iter()
         .partition(|one| app.turned_away(&one.upstream.start(), variant));
-    if able.is_empty() { noted } else { able }
+    if others.is_empty() { rejecting } else { others }
 }
--- a/crates/valehold-gateway/src/traffic/choose/engine.rs
+++ b/crates/valehold-gateway/src/traffic/choose/engine.rs
@@ -1,4 +1,4 @@
-//! Which engine a request goes to.
+//! Chooses the engine for a request that names a model.
 
 use std::sync::Arc;
 
@@ -13,28 +13,33 @@
 use super::{
     super::{route::Job, state::App},
     Chosen, NoChoice,
-    eligible::{Able, able, awake, holders, staying, unless_turned_away},
+    eligible::{
+        EligibleUpstream, eligible, holders, not_backing_off,
+        prefer_not_evacuating, prefer_not_rejecting,
+    },
     load_of,
     prompt::Prompt,
 };
 use crate::view::View;
 
-/// How many prompt tokens of a usual model a usual engine reads in a second,
-/// where it is not busy with other requests' outputs. What engines and models
-/// differ from that is learned.
+/// The number of prompt tokens per second that a typical engine prefills for a
+/// typical model while the engine generates no output for other requests. The
+/// deviations of individual engines and models from this rate are learned.
 const READ_TOKENS_PER_SECOND: f64 = 30_000.0;
 
-/// How old peers' word of their load is taken to be, in ms.
+/// The assumed age of the load reports of peers, in ms.
 const LOAD_AGE_MS: u64 = 200;
 
-/// By how much an engine's running requests delay a new one, in ms each.
+/// The delay that each running request of an engine adds to a new request, in
+/// ms.
 const RUNNING_MS: f64 = 1.0;
 
-/// What reading a prompt costs each request that runs beside it, since its
-/// outputs come more slowly meanwhile: a part of the time of reading.
-const DELAYED_PART: f64 = 0.03;
+/// The cost of prefilling a prompt for each request that runs on the same
+/// engine, as a fraction of the prefill time: the engine generates the output
+/// of these requests more slowly during the prefill.
+const PREFILL_DELAY_FRACTION: f64 = 0.03;
 
-/// Chooses an engine that holds the model and was not tried.
+/// Chooses an engine that holds the requested model and was not tried.
 pub(super) fn choose(
     app: &App,
     view: &View,
@@ -47,20 +52,23 @@
     if holders.is_empty() {
         return Err(NoChoice::NotHeld);
     }
-    let holders = awake(app, holders)?;
+    let holders = not_backing_off(app, holders)?;
     let prompt = Prompt::of(app, job, variant);
     let home = match app.mechanisms().prefix_affinity {
-        true => prompt.home(&staying(view, holders.clone())),
+        true => prompt.home(&prefer_not_evacuating(view, holders.clone())),
         false => None,
     };
-    let able = able(app, job, holders.iter().copied(), tried)?;
-    let able = staying(view, unless_turned_away(app, able, Some(variant)));
-    let candidates: Vec<Candidate> = able
+    let eligible = eligible(app, job, holders.iter().copied(), tried)?;
+    let eligible = prefer_not_evacuating(
+        view,
+        prefer_not_rejecting(app, eligible, Some(variant)),
+    );
+    let candidates: Vec<Candidate> = eligible
         .iter()
         .map(|one| {
             let is_home = home.as_ref() == Some(&one.upstream.id);
             Candidate {
-                pause_within_ms: pause_within_ms(app, job),
+                pause_within_ms: max_pause_ms(app, job),
                 slots: slots(spec, one),
                 ..candidate(app, spec, one.upstream, &prompt, is_home)
             }
@@ -68,7 +76,7 @@
         .collect();
     let choice = routing::choose(
         &candidates,
-        prompt.usual_tokens(prompt.tokens),
+        prompt.typical_model_tokens(prompt.tokens),
         rand::random(),
         &app.shared.settings.routing,
     )
@@ -91,24 +99,28 @@
     Ok(Chosen {
         predicted_ms: prediction.total_ms,
         load: load_of(app, &upstream.start()),
-        usual_ms: prediction.total_ms - reading_ms + reading_ms / slowness,
+        typical_ms: prediction.total_ms - reading_ms + reading_ms / slowness,
         reading_ms,
         pace: slowness * prompt.pace,
         upstream,
-        read_tokens: prompt.usual_tokens(prompt.tokens).saturating_sub(cached),
+        read_tokens: prompt
+            .typical_model_tokens(prompt.tokens)
+            .saturating_sub(cached),
         blocks: prompt.blocks,
-        needs_right: able.iter().any(|one| {
+        needs_permit: eligible.iter().any(|one| {
             one.per_second.is_some() && one.upstream.id == choice.engine
         }),
     })
 }
 
-/// Returns how many requests an engine works on at once: one that is cold or in
-/// need as many as it gets in a second, since it is slow and takes no more for
-/// now.
+/// Returns the number of requests that an engine can run at once.
+///
+/// An engine that is cold or rate-limited is slow and accepts no more than its
+/// rate, so the result is at most the number of requests that the engine
+/// accepts per second.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn slots(spec: &EngineSpec, able: &Able<'_>) -> u32 {
-    match able.per_second {
+fn slots(spec: &EngineSpec, engine: &EligibleUpstream<'_>) -> u32 {
+    match engine.per_second {
         Some(per_second) => spec.slots.min(per_second.max(1.0) as u32),
         None => spec.slots,
     }
@@ -122,9 +134,9 @@
         job.route.begin_within_ms,
         &app.shared.settings.admission,
     )
-    .map_err(|come_back_ms| NoChoice::WouldBeLate {
+    .map_err(|retry_after_ms| NoChoice::WouldBeLate {
         predicted_ms,
-        come_back_ms,
+        retry_after_ms,
     })
 }
 
@@ -138,25 +150,28 @@
     let start = upstream.start();
     let load = load_of(app, &start);
     let now = app.now();
-    let hinted = match app.mechanisms().prefix_affinity {
+    let hinted_blocks = match app.mechanisms().prefix_affinity {
         true => app.hints().cached_blocks(&start, &prompt.blocks, now),
         false => 0,
     };
-    let known = if is_home { prompt.shared.max(hinted) } else { hinted };
-    let way = app.way_to(&upstream.data_centre);
+    let cached =
+        if is_home { prompt.shared.max(hinted_blocks) } else { hinted_blocks };
+    let path = app.way_to(&upstream.data_centre);
     let connection_ms = match app.pool.has_resting(&start) {
         true => 0.0,
         false => app.shared.settings.routing.connection_ms,
     };
-    let cached_tokens = prompt.usual_tokens(prompt.tokens_of(known));
-    let tokens = prompt.usual_tokens(prompt.tokens);
+    let cached_tokens = prompt.typical_model_tokens(prompt.tokens_of(cached));
+    let tokens = prompt.typical_model_tokens(prompt.tokens);
     let read_tokens = tokens.saturating_sub(cached_tokens);
-    let each_ms = RUNNING_MS + read_ms(read_tokens) * DELAYED_PART;
+    let delay_per_request_ms =
+        RUNNING_MS + prefill_ms(read_tokens) * PREFILL_DELAY_FRACTION;
     Candidate {
         engine: upstream.id.clone(),
-        distance_ms: (way.round_trip_ms + f64::from(load.running) * each_ms)
+        distance_ms: (path.round_trip_ms
+            + f64::from(load.running) * delay_per_request_ms)
             / 2.0,
-        bytes_ms: way.bytes_ms,
+        bytes_ms: path.bytes_ms,
         connection_ms,
         suspect: app.is_suspect(&start),
         slots: spec.slots,
@@ -171,17 +186,21 @@
     }
 }
 
-/// Returns how long a usual engine reads tokens of a usual model, in ms.
+/// Returns how long a typical engine takes to prefill a number of tokens of a
+/// typical model, in ms.
 #[allow(clippy::cast_precision_loss)]
-fn read_ms(tokens: u64) -> f64 {
+fn prefill_ms(tokens: u64) -> f64 {
     tokens as f64 / READ_TOKENS_PER_SECOND * 1_000.0
 }
 
-/// Returns the longest pause that is in time for answers of a route's service:
-/// routes of one service state about the same.
+/// Returns the maximum pause between two events of an answer that meets the
+/// objective of the request's route, in ms; `None` if pauses do not count.
+///
+/// The objective of the route stands for all requests on the engine, because
+/// the routes of one service state similar objectives.
 #[allow(clippy::cast_precision_loss)]
-fn pause_within_ms(app: &App, job: &Job) -> Option<f64> {
+fn max_pause_ms(app: &App, job: &Job) -> Option<f64> {
     let pause_ms = job.route.pause_within_ms;
-    let counts = app.mechanisms().pauses_spared && pause_ms > 0;
-    counts.then_some(pause_ms as f64)
+    let do_pauses_count = app.mechanisms().pauses_spared && pause_ms > 0;
+    do_pauses_count.then_some(pause_ms as f64)
 }
--- a/crates/valehold-gateway/src/traffic/choose/mod.rs
+++ b/crates/valehold-gateway/src/traffic/choose/mod.rs
@@ -1,10 +1,11 @@
-//! Which upstream a request goes to.
+//! Chooses the upstream for a request.
 //!
-//! `eligible` says which upstreams may get the request at all: by the regions
-//! that bind it, by data centres that are to be empty, by which asked for rest,
-//! by what was tried, and by which are cold or in need. Of these, `process` chooses a
-//! process of a plain service, and `engine` an engine that holds the model;
-//! `prompt` says what of a prompt an engine may have read already.
+//! `eligible` filters the upstreams by the request's region bound, by
+//! evacuations of data centres, by backoffs, by earlier sends of the request
+//! and by the permits of cold or rate-limited upstreams. `process` chooses
+//! among the eligible processes of a plain service, and `engine` among the
+//! eligible engines that hold the model. `prompt` identifies the leading parts
+//! of a prompt that an engine may have cached.
 
 mod eligible;
 mod engine;
@@ -19,81 +20,86 @@
 };
 
 pub(super) use self::eligible::{
-    able_elsewhere, bound_now, holders, passed_over, usable,
+    current_bound, holders, holders_outside_bound, passed_over, usable,
 };
 use super::{rights, route::Job, state::App};
 use crate::view::Load;
 
-/// An upstream that was chosen.
+/// The upstream chosen for a send, with the prediction for the send.
 #[derive(Debug, Clone)]
 pub(super) struct Chosen {
     pub(super) upstream: Arc<Upstream>,
-    /// Prompt tokens that it has to read, as many of a usual model as take as
-    /// long.
+    /// The number of prompt tokens that the upstream has to prefill, converted
+    /// to tokens of a typical model that take the same time.
     pub(super) read_tokens: u64,
-    /// When its first event is predicted, in ms.
+    /// The predicted time from the send to the first event, in ms.
     pub(super) predicted_ms: f64,
-    /// What is thought to be under way at it.
+    /// The load of the upstream, as known from all gateways.
     pub(super) load: Load,
-    /// When its first event is predicted if it is no slower than usual, in ms.
-    pub(super) usual_ms: f64,
-    /// How long of the predicted time prompts are read, in ms.
+    /// The predicted time to the first event if the upstream reads prompts at
+    /// the typical speed, in ms.
+    pub(super) typical_ms: f64,
+    /// The part of the predicted time that is spent on prefilling prompts, in
+    /// ms.
     pub(super) reading_ms: f64,
-    /// How many times as long engine and model are taken to need for that as
-    /// all.
+    /// The estimated prefill time of this engine and model, relative to an
+    /// engine and a model of the standard pace.
     pub(super) pace: f64,
-    /// The hashes of the prompt's leading parts.
+    /// The chained hashes of the prompt's leading parts.
     pub(super) blocks: Vec<u64>,
-    /// Whether it is cold or in need, so that a right is needed to send to it.
-    pub(super) needs_right: bool,
+    /// Whether the upstream is cold or rate-limited, so that sending to the
+    /// upstream requires a permit.
+    pub(super) needs_permit: bool,
 }
 
-/// Why none was chosen.
+/// The reason why no upstream was chosen.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum NoChoice {
-    /// There is none that could take it.
+    /// No untried upstream is available.
     NoUpstream,
-    /// All are outside the regions that bind it.
+    /// All upstreams of the service are outside the request's region bound.
     NoneInBound,
-    /// No region is left in which it may be served.
+    /// The region bound of the request allows no region.
     EmptyBound,
-    /// No engine holds the model or the adapter.
+    /// No engine holds the requested model or adapter.
     NotHeld,
-    /// All that could take it are cold, and get no more for now.
+    /// No permit is available, and the first one is expected for a cold
+    /// upstream.
     AllCold {
-        /// In how many ms one may get a request.
-        next_ms: u64,
+        /// The time until an upstream may accept a request, in ms.
+        retry_after_ms: u64,
     },
-    /// All that could take it are in need, and get no more for now.
+    /// No permit is available, and the first one is expected for an upstream
+    /// that limits its request rate.
     AllLimited {
-        /// In how many ms one may get a request.
-        next_ms: u64,
+        /// The time until an upstream may accept a request, in ms.
+        retry_after_ms: u64,
     },
-    /// All that could take it asked this gateway for rest.
-    AllResting {
-        /// In how many ms one may get a request.
-        next_ms: u64,
+    /// All available upstreams are in a backoff requested from this gateway.
+    AllBackingOff {
+        /// The time until an upstream may accept a request, in ms.
+        retry_after_ms: u64,
     },
-    /// Its answer would begin too late.
+    /// The answer is predicted to begin too late.
     WouldBeLate {
-        /// When its first event was predicted, in ms.
+        /// The predicted time to the first event, in ms.
         predicted_ms: f64,
-        /// In how many ms to come back.
-        come_back_ms: u64,
+        /// The time after which the caller may retry, in ms.
+        retry_after_ms: u64,
     },
 }
 
-/// Chooses an upstream that was not `tried`.
+/// Chooses an upstream that is not in `tried`.
 pub(super) fn choose(
     app: &App,
     job: &Job,
     tried: &[UpstreamId],
 ) -> Result<Chosen, NoChoice> {
     let view = app.shared.view.load_full();
-    if bound_now(&view, job).is_empty() {
+    if current_bound(&view, job).is_empty() {
         return Err(NoChoice::EmptyBound);
     }
-    if eligible::all_are_elsewhere(app, &view, job) {
+    if eligible::all_outside_bound(app, &view, job) {
         return Err(NoChoice::NoneInBound);
     }
     match (job.engine_spec(), &job.request.variant) {
@@ -104,19 +110,19 @@
     }
 }
 
-/// Chooses an upstream that was not `tried`; gets the right to send to it if
-/// one is needed.
-pub(super) async fn choose_with_right(
+/// Chooses an upstream that is not in `tried`, and acquires a send permit if
+/// the upstream requires one.
+pub(super) async fn choose_with_permit(
     app: &App,
     job: &Job,
     tried: &[UpstreamId],
 ) -> Result<(Chosen, Option<SendPermit>), NoChoice> {
     loop {
         let chosen = choose(app, job, tried)?;
-        if !chosen.needs_right {
+        if !chosen.needs_permit {
             return Ok((chosen, None));
         }
-        // Who gets none passes the upstream over from now on.
+        // If no permit was granted, `choose` skips this upstream from now on.
         if let Some(right) = rights::right_for(app, &chosen.upstream.id).await
         {
             return Ok((chosen, Some(right)));
@@ -124,7 +130,8 @@
     }
 }
 
-/// Returns what all gateways have under way at one start of an upstream.
+/// Returns the load of one start of an upstream: the requests that all
+/// gateways have in flight on the upstream.
 fn load_of(app: &App, upstream: &UpstreamStart) -> Load {
     let own = app.shared.loads().get(upstream).copied();
     let others = app.shared.peer_loads.load().get(&upstream.tag()).copied();
--- a/crates/valehold-gateway/src/traffic/choose/process.rs
+++ b/crates/valehold-gateway/src/traffic/choose/process.rs
@@ -1,4 +1,4 @@
-//! Which process of a plain service a request goes to.
+//! Chooses the process for a request to a plain service.
 
 use valehold_core::{
     fleet::choice::{PlainCandidate, choose_plain},
@@ -8,23 +8,27 @@
 use super::{
     super::{route::Job, state::App},
     Chosen, NoChoice,
-    eligible::{able, awake, staying, unless_turned_away, usable},
+    eligible::{
+        eligible, not_backing_off, prefer_not_evacuating,
+        prefer_not_rejecting, usable,
+    },
     load_of,
 };
 use crate::view::View;
 
-/// Chooses a process that was not tried; one that failed or turned a request
-/// away lately only where there is no other.
+/// Chooses a process that was not tried. A process that recently failed or
+/// rejected a request is chosen only if no other process is available.
 pub(super) fn choose(
     app: &App,
     view: &View,
     job: &Job,
     tried: &[UpstreamId],
 ) -> Result<Chosen, NoChoice> {
-    let awake = awake(app, usable(app, view, job).collect())?;
-    let all = able(app, job, awake.into_iter(), tried)?;
-    let all = staying(view, unless_turned_away(app, all, None));
-    let mut able: Vec<(bool, PlainCandidate)> = all
+    let ready = not_backing_off(app, usable(app, view, job).collect())?;
+    let eligible = eligible(app, job, ready.into_iter(), tried)?;
+    let eligible =
+        prefer_not_evacuating(view, prefer_not_rejecting(app, eligible, None));
+    let mut candidates: Vec<(bool, PlainCandidate)> = eligible
         .iter()
         .map(|one| {
             let upstream = one.upstream;
@@ -37,13 +41,13 @@
             (app.is_suspect(&upstream.start()), candidate)
         })
         .collect();
-    if able.iter().any(|(suspect, _)| !suspect) {
-        able.retain(|(suspect, _)| !suspect);
+    if candidates.iter().any(|(suspect, _)| !suspect) {
+        candidates.retain(|(suspect, _)| !suspect);
     }
-    let able: Vec<PlainCandidate> =
-        able.into_iter().map(|(_, candidate)| candidate).collect();
-    let chosen =
-        choose_plain(&able, rand::random()).ok_or(NoChoice::NoUpstream)?;
+    let candidates: Vec<PlainCandidate> =
+        candidates.into_iter().map(|(_, candidate)| candidate).collect();
+    let chosen = choose_plain(&candidates, rand::random())
+        .ok_or(NoChoice::NoUpstream)?;
     let upstream = view.listing.upstreams.get(&chosen.upstream);
     let upstream = upstream.cloned().ok_or(NoChoice::NoUpstream)?;
     Ok(Chosen {
@@ -51,11 +55,11 @@
         load: load_of(app, &upstream.start()),
         upstream,
         read_tokens: 0,
-        usual_ms: 0.0,
+        typical_ms: 0.0,
         reading_ms: 0.0,
         pace: 1.0,
         blocks: Vec::new(),
-        needs_right: all.iter().any(|one| {
+        needs_permit: eligible.iter().any(|one| {
             one.per_second.is_some() && one.upstream.id == chosen.upstream
         }),
     })
--- a/crates/valehold-gateway/src/traffic/choose/prompt.rs
+++ b/crates/valehold-gateway/src/traffic/choose/prompt.rs
@@ -1,4 +1,4 @@
-//! A prompt, as far as the choice of an engine needs it.
+//! The properties of a prompt that determine the choice of an engine.
 
 use std::sync::Arc;
 
@@ -12,16 +12,19 @@
 
 use super::super::{route::Job, state::App};
 
-/// A prompt, as far as the choice of an engine needs it.
+/// The sizes and hashes of the parts of a prompt, with the pace of its model.
 pub(super) struct Prompt {
     pub(super) model: ModelName,
     pub(super) tokens: u64,
-    /// The hash of each part with all before it, for this variant.
+    /// The chained hashes of the parts: each hash covers a part and all parts
+    /// before that part, and is specific to the variant.
     pub(super) blocks: Vec<u64>,
     part_tokens: Vec<u64>,
-    /// How many leading parts other requests may share.
+    /// The number of leading parts that other requests may have in common: all
+    /// parts but the last.
     pub(super) shared: usize,
-    /// How many times as long its model takes to read as all.
+    /// The estimated prefill time of the model, relative to a model of the
+    /// standard pace.
     pub(super) pace: f64,
 }
 
@@ -40,28 +43,31 @@
         }
     }
 
-    /// Returns how many tokens of a usual model take as long to read as some
-    /// of this one's.
+    /// Converts a number of tokens of this model to the number of tokens of a
+    /// typical model that take the same time to prefill.
     #[allow(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss
     )]
-    pub(super) fn usual_tokens(&self, tokens: u64) -> u64 {
+    pub(super) fn typical_model_tokens(&self, tokens: u64) -> u64 {
         (tokens as f64 * self.pace) as u64
     }
 
+    /// Returns the number of tokens in the first `parts` parts.
     pub(super) fn tokens_of(&self, parts: usize) -> u64 {
         self.part_tokens.iter().take(parts).sum()
     }
 
-    /// Returns the engine at which requests with the same beginning meet.
+    /// Returns the engine that rendezvous hashing assigns to the shared parts
+    /// of the prompt, so that requests with the same beginning reach the same
+    /// cache; `None` if the prompt has no shared parts or `holders` is empty.
     pub(super) fn home(
         &self,
         holders: &[&Arc<Upstream>],
     ) -> Option<UpstreamId> {
-        let last = self.shared.checked_sub(1)?;
-        let key = self.blocks.get(last)?.to_string();
+        let last_shared = self.shared.checked_sub(1)?;
+        let key = self.blocks.get(last_shared)?.to_string();
         let names: Vec<&str> =
             holders.iter().map(|upstream| upstream.id.as_str()).collect();
         rendezvous::owner(&key, &names).map(UpstreamId::new)
--- a/crates/valehold-gateway/src/traffic/exchange/giving_up.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/giving_up.rs
@@ -42,20 +42,24 @@
     }
 
     /// Refuses a request that only upstreams which rest could take.
-    pub(super) fn refuse_for_rest(&self, next_ms: u64) -> Refusal {
-        self.refuse_until(RefusalReason::UpstreamsResting, next_ms)
+    pub(super) fn refuse_for_rest(&self, retry_after_ms: u64) -> Refusal {
+        self.refuse_until(RefusalReason::UpstreamsResting, retry_after_ms)
     }
 
     /// Refuses a request that only upstreams in need could take.
-    pub(super) fn refuse_for_limit(&self, next_ms: u64) -> Refusal {
-        self.refuse_until(RefusalReason::UpstreamsLimited, next_ms)
+    pub(super) fn refuse_for_limit(&self, retry_after_ms: u64) -> Refusal {
+        self.refuse_until(RefusalReason::UpstreamsLimited, retry_after_ms)
     }
 
     /// Refuses a request with when an upstream may take one; callers that wait
     /// for the same moment come back one after the other.
-    fn refuse_until(&self, reason: RefusalReason, next_ms: u64) -> Refusal {
+    fn refuse_until(
+        &self,
+        reason: RefusalReason,
+        retry_after_ms: u64,
+    ) -> Refusal {
         let spread_ms = rand::random_range(0..=RETURN_SPREAD_MS);
-        self.give_up(reason, Some(next_ms + spread_ms))
+        self.give_up(reason, Some(retry_after_ms + spread_ms))
     }
 
     /// Refuses a request that all upstreams which it was sent to turned away
@@ -66,14 +70,14 @@
             return self.give_up(RefusalReason::UpstreamFailed, None);
         }
         let come_back_ms = match choose(&self.app, &self.job, &[]) {
-            Err(NoChoice::AllResting { next_ms }) => {
-                return self.refuse_for_rest(next_ms);
+            Err(NoChoice::AllBackingOff { retry_after_ms }) => {
+                return self.refuse_for_rest(retry_after_ms);
             }
-            Err(NoChoice::AllLimited { next_ms }) => {
-                return self.refuse_for_limit(next_ms);
+            Err(NoChoice::AllLimited { retry_after_ms }) => {
+                return self.refuse_for_limit(retry_after_ms);
             }
-            Err(NoChoice::WouldBeLate { come_back_ms, .. }) => {
-                Some(come_back_ms)
+            Err(NoChoice::WouldBeLate { retry_after_ms, .. }) => {
+                Some(retry_after_ms)
             }
             Err(_) => asked_ms,
             Ok(_) => None,
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -29,7 +29,7 @@
     Body,
     answer::{self, Relay},
     charge::{Charge, charge},
-    choose::{Chosen, choose, choose_with_right},
+    choose::{Chosen, choose, choose_with_permit},
     crashes,
     record::Record,
     refusal::Refusal,
@@ -187,7 +187,7 @@
                     app.note_pace(chosen, &variant.model, took_ms);
                 }
                 app.observe(start, |pace, now| {
-                    pace.observe(took_ms, chosen.usual_ms, now);
+                    pace.observe(took_ms, chosen.typical_ms, now);
                 });
                 app.hints().note(start, &chosen.blocks, app.now());
                 Ok(Passable::Stream { head, relay })
@@ -365,7 +365,7 @@
                 return None;
             }
             let choosing =
-                choose_with_right(&self.app, &self.job, &self.tried);
+                choose_with_permit(&self.app, &self.job, &self.tried);
             let (chosen, right) = choosing.await.ok()?;
             self.app.shared.metrics.retried(RetryReason::StreamResumed);
             match self.attempt(&chosen, right).await {
--- a/crates/valehold-gateway/src/traffic/exchange/waiting.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/waiting.rs
@@ -11,8 +11,8 @@
 use super::{
     super::{
         choose::{
-            Chosen, NoChoice, able_elsewhere, bound_now, choose_with_right,
-            holders, usable,
+            Chosen, NoChoice, choose_with_permit, current_bound, holders,
+            holders_outside_bound, usable,
         },
         refusal::Refusal,
     },
@@ -55,7 +55,7 @@
     /// charged for it.
     pub(super) fn refuse_if_unservable(&self) -> Result<(), Refusal> {
         let view = self.app.shared.view.load();
-        match bound_now(&view, &self.job).is_empty() {
+        match current_bound(&view, &self.job).is_empty() {
             true => Err(self.refuse_for_empty_bound()),
             false => Ok(()),
         }
@@ -76,7 +76,7 @@
         let mut looks: u32 = 0;
         loop {
             let choosing =
-                choose_with_right(&self.app, &self.job, &self.tried);
+                choose_with_permit(&self.app, &self.job, &self.tried);
             let no_choice = match choosing.await {
                 Ok(chosen) => {
                     if looks > 0 {
@@ -87,10 +87,10 @@
                 Err(no_choice) => no_choice,
             };
             match no_choice {
-                NoChoice::WouldBeLate { predicted_ms, come_back_ms } => {
+                NoChoice::WouldBeLate { predicted_ms, retry_after_ms } => {
                     self.record.predicted(predicted_ms);
                     let reason = RefusalReason::WouldBeLate;
-                    return Err(self.give_up(reason, Some(come_back_ms)));
+                    return Err(self.give_up(reason, Some(retry_after_ms)));
                 }
                 NoChoice::EmptyBound => {
                     return Err(self.refuse_for_empty_bound());
@@ -100,25 +100,25 @@
                     let come_back = Some(NONE_IN_BOUND_COME_BACK_MS);
                     return Err(self.give_up(reason, come_back));
                 }
-                NoChoice::AllCold { next_ms }
-                    if self.app.now() + next_ms >= until =>
+                NoChoice::AllCold { retry_after_ms }
+                    if self.app.now() + retry_after_ms >= until =>
                 {
                     let reason = RefusalReason::UpstreamsCold;
-                    return Err(self.give_up(reason, Some(next_ms)));
+                    return Err(self.give_up(reason, Some(retry_after_ms)));
                 }
-                NoChoice::AllLimited { next_ms }
-                    if self.app.now() + next_ms >= until =>
+                NoChoice::AllLimited { retry_after_ms }
+                    if self.app.now() + retry_after_ms >= until =>
                 {
-                    return Err(self.refuse_for_limit(next_ms));
+                    return Err(self.refuse_for_limit(retry_after_ms));
                 }
-                NoChoice::AllResting { next_ms }
-                    if self.app.now() + next_ms >= until =>
+                NoChoice::AllBackingOff { retry_after_ms }
+                    if self.app.now() + retry_after_ms >= until =>
                 {
-                    return Err(self.refuse_for_rest(next_ms));
+                    return Err(self.refuse_for_rest(retry_after_ms));
                 }
                 NoChoice::AllCold { .. }
                 | NoChoice::AllLimited { .. }
-                | NoChoice::AllResting { .. } => {}
+                | NoChoice::AllBackingOff { .. } => {}
                 NoChoice::NoUpstream if self.tried.is_empty() => {}
                 NoChoice::NoUpstream => {
                     // The holder of the lease looks after those that failed.
@@ -143,7 +143,7 @@
     fn lack(&self) -> RefusalReason {
         let view = self.app.shared.view.load();
         let is_held = holders(&self.app, &view, &self.job).next().is_some();
-        let elsewhere = able_elsewhere(&self.app, &view, &self.job);
+        let elsewhere = holders_outside_bound(&self.app, &view, &self.job);
         match !is_held && elsewhere > 0 {
             true => RefusalReason::NoUpstreamInBound,
             false => RefusalReason::NoUpstream,
@@ -175,7 +175,7 @@
         }
         let Some(asked) = self.job.asked() else { return };
         let view = self.app.shared.view.load();
-        let bound = bound_now(&view, &self.job).into_owned();
+        let bound = current_bound(&view, &self.job).into_owned();
         self.app.shared.wish(&Asked { bound, ..asked });
     }
 }
--- a/crates/valehold-gateway/src/traffic/record.rs
+++ b/crates/valehold-gateway/src/traffic/record.rs
@@ -9,7 +9,9 @@
 };
 
 use super::{
-    choose::{Chosen, able_elsewhere, bound_now, holders, passed_over},
+    choose::{
+        Chosen, current_bound, holders, holders_outside_bound, passed_over,
+    },
     exchange::Exchange,
     refusal::Refusal,
     route::Job,
@@ -240,13 +242,13 @@
 /// Returns what bound a request at its last decision, if anything did.
 fn bound_record(app: &App, view: &View, job: &Job) -> Option<BoundRecord> {
     let regions = |bound: &RegionBound| bound.regions().cloned();
-    let now = regions(&bound_now(view, job))?;
+    let now = regions(&current_bound(view, job))?;
     let workspace = job.workspace.as_ref().map(|one| &one.bound);
     Some(BoundRecord {
         regions: now,
         of_route: regions(&job.route.bound),
         of_workspace: workspace.and_then(regions),
-        able_elsewhere: able_elsewhere(app, view, job),
+        able_elsewhere: holders_outside_bound(app, view, job),
     })
 }
 
