--- a/crates/valehold-gateway/src/traffic/answer.rs
+++ b/crates/valehold-gateway/src/traffic/answer.rs
@@ -19,7 +19,7 @@
     exchange::{Exchange, Passable},
     route::Job,
     send::{BegunAnswer, Rest, SendFailure},
-    state::{App, UnderWay},
+    state::{App, InFlightGuard},
 };
 use crate::view::Life;
 
@@ -34,7 +34,7 @@
     sender: Option<SendRequest<Full<Bytes>>>,
     rest: Option<Rest>,
     splitter: EventSplitter,
-    under_way: UnderWay,
+    under_way: InFlightGuard,
     variant: Option<Variant>,
     began: Instant,
     /// Events that were taken and not passed on yet.
@@ -52,7 +52,7 @@
         upstream: Arc<Upstream>,
         job: &Job,
         begun: BegunAnswer,
-        under_way: UnderWay,
+        under_way: InFlightGuard,
     ) -> Self {
         Self {
             upstream,
@@ -75,7 +75,7 @@
     ) -> Result<Bytes, SendFailure> {
         let next = self.next(app, order).await;
         let next = next.map_err(|BrokenOff| SendFailure::cut_off())?;
-        self.under_way.prompt_read();
+        self.under_way.prompt_prefilled();
         self.began = Instant::now();
         match next {
             Next::Events(bytes) => Ok(bytes),
@@ -145,7 +145,7 @@
     fn let_rest(&mut self, app: &App) {
         let took_ms = self.began.elapsed().as_secs_f64() * 1_000.0;
         if let Some(variant) = &self.variant {
-            app.note_slot_time(&variant.model, took_ms);
+            app.record_slot_time(&variant.model, took_ms);
         }
         if let (Some(sender), Some(rest)) = (self.sender.take(), self.rest) {
             app.pool.rest(&self.upstream.start(), sender, rest.stated);
--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -309,8 +309,9 @@
     eligible: Vec<EligibleUpstream<'a>>,
     variant: Option<&Variant>,
 ) -> Vec<EligibleUpstream<'a>> {
-    let (rejecting, others): (Vec<_>, Vec<_>) = eligible
-        .into_iter()
-        .partition(|one| app.turned_away(&one.upstream.start(), variant));
+    let (rejecting, others): (Vec<_>, Vec<_>) =
+        eligible.into_iter().partition(|one| {
+            app.recently_rejected(&one.upstream.start(), variant)
+        });
     if others.is_empty() { rejecting } else { others }
 }
--- a/crates/valehold-gateway/src/traffic/choose/engine.rs
+++ b/crates/valehold-gateway/src/traffic/choose/engine.rs
@@ -156,7 +156,7 @@
     };
     let cached =
         if is_home { prompt.shared.max(hinted_blocks) } else { hinted_blocks };
-    let path = app.way_to(&upstream.data_centre);
+    let path = app.path_cost(&upstream.data_centre);
     let connection_ms = match app.pool.has_resting(&start) {
         true => 0.0,
         false => app.shared.settings.routing.connection_ms,
@@ -179,7 +179,7 @@
             / app.slowness(&start),
         running: load.running,
         waiting_tokens: load.waiting_tokens,
-        service_ms: app.slot_ms(&prompt.model),
+        service_ms: app.expected_slot_ms(&prompt.model),
         report_age_ms: LOAD_AGE_MS,
         cached_tokens,
         pause_within_ms: None,
--- a/crates/valehold-gateway/src/traffic/choose/process.rs
+++ b/crates/valehold-gateway/src/traffic/choose/process.rs
@@ -36,7 +36,7 @@
                 upstream: upstream.id.clone(),
                 slots: upstream.slots,
                 running: load_of(app, &upstream.start()).running,
-                path_cost_ms: app.way_to(&upstream.data_centre).cost_ms(),
+                path_cost_ms: app.path_cost(&upstream.data_centre).cost_ms(),
             };
             (app.is_suspect(&upstream.start()), candidate)
         })
--- a/crates/valehold-gateway/src/traffic/choose/prompt.rs
+++ b/crates/valehold-gateway/src/traffic/choose/prompt.rs
@@ -39,7 +39,7 @@
             blocks: chained_hashes(seed, digests),
             part_tokens: request.parts.iter().map(|p| p.tokens).collect(),
             shared: request.parts.len().saturating_sub(1),
-            pace: app.pace_of_model(&variant.model),
+            pace: app.model_pace(&variant.model),
         }
     }
 
--- a/crates/valehold-gateway/src/traffic/exchange/beginning.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/beginning.rs
@@ -29,7 +29,7 @@
     let upstream = &chosen.upstream;
     let asked = job.asked();
     let start = upstream.start();
-    let under_way = app.under_way(&start, asked, chosen.read_tokens);
+    let under_way = app.track_in_flight(&start, asked, chosen.read_tokens);
     let begun = send(app, job, upstream, right, order.last()).await?;
     let head = begun.head.clone();
     if !(job.route.streaming && head.status.is_success()) {
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -143,7 +143,7 @@
     ) -> Result<Passable, SendFailure> {
         let app = self.app.clone();
         if self.sends == 0 {
-            app.first_send(&self.job.service_name);
+            app.record_first_send(&self.job.service_name);
         }
         let id = &chosen.upstream.id;
         self.keep_charge(true);
@@ -171,7 +171,7 @@
                     crashes::answered(&app, &self.job);
                 }
                 if self.job.request.variant.is_none() {
-                    app.note_taken(&chosen.upstream.start(), None);
+                    app.record_accepted(&chosen.upstream.start(), None);
                 }
                 self.judge_whole(&chosen.upstream, head, body)
             }
@@ -181,12 +181,14 @@
                     crashes::answered(&app, &self.job);
                 }
                 let start = &chosen.upstream.start();
-                app.judge(start, |health, now| health.record_success(now));
+                app.update_health(start, |health, now| {
+                    health.record_success(now)
+                });
                 if let Some(variant) = &self.job.request.variant {
-                    app.note_taken(start, Some(variant));
-                    app.note_pace(chosen, &variant.model, took_ms);
+                    app.record_accepted(start, Some(variant));
+                    app.record_pace(chosen, &variant.model, took_ms);
                 }
-                app.observe(start, |pace, now| {
+                app.update_pace(start, |pace, now| {
                     pace.observe(took_ms, chosen.typical_ms, now);
                 });
                 app.hints().note(start, &chosen.blocks, app.now());
@@ -244,7 +246,7 @@
         job.route.repetition.is_allowed()
             && self.sends + 1 < job.route.attempts
             && self.left() > LEAST_LEFT
-            && self.app.can_send_again(&job.service_name)
+            && self.app.has_retry_left(&job.service_name)
             && choose(&self.app, job, &tried).is_ok()
     }
 
@@ -255,10 +257,13 @@
         body: Bytes,
     ) -> Result<Passable, SendFailure> {
         let failed = head.status.is_server_error();
-        self.app.judge(&upstream.start(), |health, now| match failed {
-            true => health.record_failure(now),
-            false => health.record_success(now),
-        });
+        self.app.update_health(
+            &upstream.start(),
+            |health, now| match failed {
+                true => health.record_failure(now),
+                false => health.record_success(now),
+            },
+        );
         let repeatable = self.job.route.repetition.is_allowed();
         if failed && self.can_move_from(&upstream.id) {
             return Err(SendFailure {
@@ -284,7 +289,9 @@
         self.record.failed(&failure);
         let is_given_up = crashes::refused_ms(&self.app, &self.job).is_some();
         if failure.verdict != Verdict::NotRun && !is_given_up {
-            self.app.judge(start, |health, now| health.record_failure(now));
+            self.app.update_health(start, |health, now| {
+                health.record_failure(now)
+            });
         }
         self.note_turned_away(start, failure);
         // A right that was over, or a rest, speaks against no upstream: it may
@@ -325,7 +332,7 @@
     ) {
         if let Some(why) = failure.turned_away {
             let variant = self.job.request.variant.as_ref();
-            self.app.note_turned_away(upstream, variant, why);
+            self.app.record_rejection(upstream, variant, why);
         }
     }
 
@@ -346,7 +353,7 @@
 
     fn take_second_send(&self, verdict: Verdict) -> bool {
         self.may_follow(verdict)
-            && self.app.may_send_again(&self.job.service_name)
+            && self.app.try_take_retry(&self.job.service_name)
     }
 
     /// Sends a broken stream's request to other upstreams, until one goes on
@@ -355,7 +362,8 @@
         &mut self,
         broken: &UpstreamStart,
     ) -> Option<Relay> {
-        self.app.judge(broken, |health, now| health.record_failure(now));
+        self.app
+            .update_health(broken, |health, now| health.record_failure(now));
         self.record.broke_off();
         self.leave(&broken.id, true);
         for _ in 0..MOST_TRIES {
--- a/crates/valehold-gateway/src/traffic/send.rs
+++ b/crates/valehold-gateway/src/traffic/send.rs
@@ -159,12 +159,14 @@
             let error = error.to_string();
             Event::UpstreamUnreachable { upstream: upstream_id, error }.log();
             let start = upstream.start();
-            app.judge(&start, |health, now| health.record_unreachable(now));
+            app.update_health(&start, |health, now| {
+                health.record_unreachable(now)
+            });
             rights::may_have_restarted(app, job, upstream);
             SendFailure::not_sent()
         })?;
         if let Some(made_in) = connection.made_in {
-            app.note_connected(&upstream.data_centre, made_in);
+            app.record_connect_time(&upstream.data_centre, made_in);
         }
         // A connection takes time to be made, and the machine may have been
         // suspended meanwhile: what is left is said as of now.
--- a/crates/valehold-gateway/src/traffic/server.rs
+++ b/crates/valehold-gateway/src/traffic/server.rs
@@ -187,6 +187,6 @@
 async fn sweep(app: Rc<App>) {
     loop {
         tokio::time::sleep(SWEEP).await;
-        app.sweep();
+        app.prune();
     }
 }
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread keeps.
+//! The state of the traffic thread.
 
 use std::{
     cell::{RefCell, RefMut},
@@ -27,35 +27,37 @@
 use super::{choose::Chosen, crashes::BrokenOff, pool::Pool};
 use crate::{mechanisms::MechanismSettings, shared::Shared, view::Load};
 
-/// For how long a hint about an engine's cached prompts is kept, in ms.
-const KEEP_HINTS_MS: u64 = 30_000;
+/// How long a hint about an engine's cached prompts is kept, in ms.
+const HINT_RETENTION_MS: u64 = 30_000;
 
-/// How many hints are kept.
-const MOST_HINTS: usize = 16_384;
+/// The maximum number of hints that are kept.
+const MAX_HINTS: usize = 16_384;
 
-/// Predictions of reading below this are not learned from, in ms: a step of
-/// an engine and the way weigh as much.
-const LEAST_READING_MS: f64 = 30.0;
+/// The minimum predicted prefill time for which the pace is recorded, in ms.
+/// Below this time, a step of the engine and the network path take as long as
+/// the prefill.
+const MIN_PREFILL_MS: f64 = 30.0;
 
-/// What the traffic thread keeps.
+/// The state of the traffic thread: the connection pool, and what this gateway
+/// has learned about upstreams, models and network paths.
 pub struct App {
-    /// What it shares with control.
+    /// The state shared with the control thread.
     pub shared: Arc<Shared>,
-    /// How requests and answers are written.
+    /// The format of the headers of requests and answers.
     pub dialect: Arc<dyn Dialect>,
     pub(super) pool: Pool,
     pub(super) broken_off: BrokenOff,
     health: RefCell<BTreeMap<UpstreamStart, Health>>,
     paces: RefCell<BTreeMap<UpstreamStart, Pace>>,
-    shares: RefCell<BTreeMap<ServiceName, RetryShare>>,
+    retry_shares: RefCell<BTreeMap<ServiceName, RetryShare>>,
     hints: RefCell<PrefixHints<UpstreamStart>>,
-    turned_away: RefCell<RecentRejections>,
+    rejections: RefCell<RecentRejections>,
     slot_times: RefCell<SlotTimes>,
-    ways: RefCell<PathLatencies>,
+    path_latencies: RefCell<PathLatencies>,
 }
 
 impl App {
-    /// Makes the state of a gateway that has served nothing.
+    /// Creates the state of a gateway that has served no requests.
     pub fn new(shared: Arc<Shared>, dialect: Arc<dyn Dialect>) -> Self {
         Self {
             pool: Pool::new(shared.clock),
@@ -64,11 +66,14 @@
             broken_off: BrokenOff::default(),
             health: RefCell::default(),
             paces: RefCell::default(),
-            shares: RefCell::default(),
-            hints: RefCell::new(PrefixHints::new(KEEP_HINTS_MS, MOST_HINTS)),
-            turned_away: RefCell::default(),
+            retry_shares: RefCell::default(),
+            hints: RefCell::new(PrefixHints::new(
+                HINT_RETENTION_MS,
+                MAX_HINTS,
+            )),
+            rejections: RefCell::default(),
             slot_times: RefCell::default(),
-            ways: RefCell::default(),
+            path_latencies: RefCell::default(),
         }
     }
 
@@ -76,13 +81,13 @@
         self.shared.clock.now()
     }
 
-    /// Returns which mechanisms are used.
+    /// Returns the settings that switch single mechanisms on and off.
     pub(super) fn mechanisms(&self) -> MechanismSettings {
         self.shared.settings.mechanisms
     }
 
-    /// Changes an upstream's health.
-    pub(super) fn judge(
+    /// Updates the health record of an upstream.
+    pub(super) fn update_health(
         &self,
         upstream: &UpstreamStart,
         change: impl FnOnce(&mut Health, Millis),
@@ -92,8 +97,9 @@
         change(health.entry(upstream.clone()).or_default(), now);
     }
 
-    /// Changes what is known of an engine's pace.
-    pub(super) fn observe(
+    /// Updates this gateway's own estimate of an engine's pace, if the
+    /// mechanism `learned_pace` is on.
+    pub(super) fn update_pace(
         &self,
         upstream: &UpstreamStart,
         change: impl FnOnce(&mut Pace, Millis),
@@ -106,7 +112,8 @@
         change(paces.entry(upstream.clone()).or_default(), now);
     }
 
-    /// Returns how many times as long an engine takes to read as all.
+    /// Returns the estimated prefill time of an engine, relative to an engine
+    /// of the standard pace.
     pub(super) fn slowness(&self, upstream: &UpstreamStart) -> f64 {
         if self.mechanisms().paces_told {
             return self.shared.paces.load().of_engine(upstream.tag());
@@ -116,83 +123,100 @@
         paces.get(upstream).map_or(1.0, |pace| pace.slowness(now))
     }
 
-    /// Returns how many times as long a model takes to read as all.
-    pub(super) fn pace_of_model(&self, model: &ModelName) -> f64 {
+    /// Returns the estimated prefill time of a model, relative to a model of
+    /// the standard pace.
+    pub(super) fn model_pace(&self, model: &ModelName) -> f64 {
         match self.mechanisms().paces_told {
             true => self.shared.paces.load().of_model(model.tag()),
             false => 1.0,
         }
     }
 
-    /// Notes when a first event came, for all gateways to learn from.
-    pub(super) fn note_pace(
+    /// Records how long the first event of an answer took. The observation is
+    /// advertised, so that all gateways learn the pace of engine and model.
+    pub(super) fn record_pace(
         &self,
         chosen: &Chosen,
         model: &ModelName,
         took_ms: f64,
     ) {
-        if chosen.reading_ms < LEAST_READING_MS {
+        if chosen.reading_ms < MIN_PREFILL_MS {
             return;
         }
-        let beside_ms = chosen.predicted_ms - chosen.reading_ms;
-        let read_ms = (took_ms - beside_ms).max(1.0);
-        let against_all = read_ms / chosen.reading_ms * chosen.pace;
+        let overhead_ms = chosen.predicted_ms - chosen.reading_ms;
+        let read_ms = (took_ms - overhead_ms).max(1.0);
+        let relative_pace = read_ms / chosen.reading_ms * chosen.pace;
         self.shared.note_pace(PaceObservation {
             engine: chosen.upstream.start().tag(),
             model: model.tag(),
-            ratio: LogRatio::from_ln(against_all.ln()),
+            ratio: LogRatio::from_ln(relative_pace.ln()),
         });
     }
 
-    /// Notes for how long a request of a model kept its slot, in ms.
-    pub(super) fn note_slot_time(&self, model: &ModelName, took_ms: f64) {
+    /// Records how long a request for a model occupied a slot of an engine, in
+    /// ms.
+    pub(super) fn record_slot_time(&self, model: &ModelName, took_ms: f64) {
         let now = self.now();
         if self.mechanisms().learned_slot_times {
             self.slot_times.borrow_mut().record(model, took_ms, now);
         }
     }
 
-    /// Returns for how long a request of a model keeps its slot, in ms.
-    pub(super) fn slot_ms(&self, model: &ModelName) -> f64 {
+    /// Returns the expected time for which a request for a model occupies a
+    /// slot of an engine, in ms.
+    pub(super) fn expected_slot_ms(&self, model: &ModelName) -> f64 {
         self.slot_times.borrow().expected_ms(model, self.now())
     }
 
-    /// Notes how long a connection to a data centre took to be made.
-    pub(super) fn note_connected(&self, to: &DataCentreId, took: Duration) {
+    /// Records how long it took to establish a connection to a data centre.
+    pub(super) fn record_connect_time(
+        &self,
+        to: &DataCentreId,
+        took: Duration,
+    ) {
         let took_ms = took.as_secs_f64() * 1_000.0;
-        self.ways.borrow_mut().record(to, took_ms);
+        self.path_latencies.borrow_mut().record(to, took_ms);
     }
 
-    /// Returns the way to a data centre, as far as connections showed it.
-    pub(super) fn way_to(&self, data_centre: &DataCentreId) -> PathCost {
+    /// Returns the cost of the network path to a data centre, based on the
+    /// recorded connect times.
+    pub(super) fn path_cost(&self, data_centre: &DataCentreId) -> PathCost {
         let shared = &self.shared;
-        let ways = self.ways.borrow();
-        ways.cost_to(data_centre, &shared.topology, &shared.settings.distance)
+        let path_latencies = self.path_latencies.borrow();
+        path_latencies.cost_to(
+            data_centre,
+            &shared.topology,
+            &shared.settings.distance,
+        )
     }
 
-    /// Forgets starts of upstreams that are over.
-    pub(super) fn sweep(&self) {
+    /// Removes the state of upstream starts that are no longer listed, and the
+    /// state that has expired.
+    pub(super) fn prune(&self) {
         let now = self.now();
         let view = self.shared.view.load();
         let listing = &view.listing;
-        let known = |start: &UpstreamStart| listing.get_start(start).is_some();
-        self.health.borrow_mut().retain(|id, _| known(id));
-        self.paces.borrow_mut().retain(|id, _| known(id));
-        self.turned_away.borrow_mut().prune(known, now);
+        let is_current =
+            |start: &UpstreamStart| listing.get_start(start).is_some();
+        self.health.borrow_mut().retain(|id, _| is_current(id));
+        self.paces.borrow_mut().retain(|id, _| is_current(id));
+        self.rejections.borrow_mut().prune(is_current, now);
         self.slot_times.borrow_mut().prune(now);
         let is_listed = |id: &UpstreamId| listing.upstreams.contains_key(id);
         self.shared.cold().prune(is_listed, now);
-        self.shared.rests().prune(known, now);
-        self.shared.upstream_limits().prune(known);
-        // Who leaves can end sooner without connections that rest.
+        self.shared.rests().prune(is_current, now);
+        self.shared.upstream_limits().prune(is_current);
+        // An upstream that is leaving can end sooner if no idle connections to
+        // the upstream remain.
         self.pool.sweep(|start| {
             listing.get_start(start).is_some_and(|one| !one.leaving)
         });
     }
 
-    /// Tells whether an upstream failed lately, or crashed as some gateway
-    /// saw: its entry stands for seconds, in which requests would use their
-    /// tries up on it.
+    /// Returns whether an upstream recently failed for this gateway, or crashed
+    /// according to any gateway. A crashed upstream stays listed for seconds;
+    /// without this check, requests would use up their tries on the upstream
+    /// during that time.
     pub(super) fn is_suspect(&self, upstream: &UpstreamStart) -> bool {
         if self.shared.crashes().has_crashed(upstream.tag()) {
             return true;
@@ -202,67 +226,71 @@
         health.get(upstream).is_some_and(|health| health.is_suspect(now))
     }
 
-    /// Notes that an upstream turned a request away.
-    pub(super) fn note_turned_away(
+    /// Records that an upstream rejected a request.
+    pub(super) fn record_rejection(
         &self,
         upstream: &UpstreamStart,
         variant: Option<&Variant>,
-        why: Rejection,
+        rejection: Rejection,
     ) {
         let now = self.now();
-        self.turned_away.borrow_mut().record(upstream, variant, why, now);
+        self.rejections.borrow_mut().record(upstream, variant, rejection, now);
     }
 
-    /// Notes that an upstream took a request.
-    pub(super) fn note_taken(
+    /// Records that an upstream accepted a request, so that earlier rejections
+    /// no longer count.
+    pub(super) fn record_accepted(
         &self,
         upstream: &UpstreamStart,
         variant: Option<&Variant>,
     ) {
-        self.turned_away.borrow_mut().record_accepted(upstream, variant);
+        self.rejections.borrow_mut().record_accepted(upstream, variant);
     }
 
-    /// Tells whether an upstream turned such a request away lately.
-    pub(super) fn turned_away(
+    /// Returns whether an upstream recently rejected a request for the same
+    /// variant.
+    pub(super) fn recently_rejected(
         &self,
         upstream: &UpstreamStart,
         variant: Option<&Variant>,
     ) -> bool {
-        self.turned_away.borrow().contains(upstream, variant, self.now())
+        self.rejections.borrow().contains(upstream, variant, self.now())
     }
 
-    /// Notes a request's first send to a service.
-    pub(super) fn first_send(&self, service: &ServiceName) {
+    /// Records the first send of a request to a service.
+    pub(super) fn record_first_send(&self, service: &ServiceName) {
         let now = self.now();
-        self.with_share(service, |share| share.record_request(now));
+        self.with_retry_share(service, |share| share.record_request(now));
     }
 
-    /// Takes a second send out of this gateway's share.
-    pub(super) fn may_send_again(&self, service: &ServiceName) -> bool {
+    /// Takes a retry from this gateway's share of the retry budget; returns
+    /// `false` if no retry is available.
+    pub(super) fn try_take_retry(&self, service: &ServiceName) -> bool {
         let now = self.now();
         self.mechanisms().second_sends
-            && self.with_share(service, |share| share.try_retry(now))
+            && self.with_retry_share(service, |share| share.try_retry(now))
     }
 
-    /// Tells whether a second send is left in this gateway's share.
-    pub(super) fn can_send_again(&self, service: &ServiceName) -> bool {
+    /// Returns whether this gateway's share of the retry budget has a retry
+    /// left, without taking the retry.
+    pub(super) fn has_retry_left(&self, service: &ServiceName) -> bool {
         let now = self.now();
         self.mechanisms().second_sends
-            && self.with_share(service, |share| share.can_retry(now))
+            && self.with_retry_share(service, |share| share.can_retry(now))
     }
 
-    fn with_share<T>(
+    fn with_retry_share<T>(
         &self,
         service: &ServiceName,
         act: impl FnOnce(&mut RetryShare) -> T,
     ) -> T {
-        let seen = self.shared.view.load().ready.len();
-        let mut shares = self.shares.borrow_mut();
+        let instances = self.shared.view.load().ready.len();
+        let mut retry_shares = self.retry_shares.borrow_mut();
         let budget = self.shared.settings.retry.budget();
-        let share = shares
+        let share = retry_shares
             .entry(service.clone())
             .or_insert_with(|| RetryShare::new(budget));
-        share.observe_instances(u32::try_from(seen).unwrap_or(u32::MAX));
+        share.observe_instances(u32::try_from(instances).unwrap_or(u32::MAX));
         act(share)
     }
 
@@ -270,51 +298,54 @@
         self.hints.borrow_mut()
     }
 
-    /// Notes that a request is under way at an upstream, until the guard
-    /// goes.
-    pub(super) fn under_way(
+    /// Counts a request as in flight on an upstream until the returned guard is
+    /// dropped.
+    pub(super) fn track_in_flight(
         &self,
         upstream: &UpstreamStart,
         asked: Option<Asked>,
-        tokens: u64,
-    ) -> UnderWay {
+        prompt_tokens: u64,
+    ) -> InFlightGuard {
         if let Some(asked) = &asked {
             let mut running = self.shared.running();
             *running.entry(asked.clone()).or_default() += 1;
         }
-        let one = Load { running: 1, waiting_tokens: tokens };
+        let one = Load { running: 1, waiting_tokens: prompt_tokens };
         let mut loads = self.shared.loads();
         let load = loads.entry(upstream.clone()).or_default();
         *load = load.plus(one);
-        UnderWay {
+        InFlightGuard {
             shared: self.shared.clone(),
             upstream: upstream.clone(),
             asked,
-            waiting: tokens,
+            waiting_tokens: prompt_tokens,
         }
     }
 }
 
-/// A request that is under way at an upstream.
-pub(super) struct UnderWay {
+/// A guard that counts a request as in flight on an upstream.
+pub(super) struct InFlightGuard {
     shared: Arc<Shared>,
     upstream: UpstreamStart,
     asked: Option<Asked>,
-    waiting: u64,
+    /// The prompt tokens that the upstream has yet to prefill.
+    waiting_tokens: u64,
 }
 
-impl UnderWay {
-    /// Notes that the prompt was read: the first event came.
-    pub(super) fn prompt_read(&mut self) {
-        let waiting = std::mem::take(&mut self.waiting);
+impl InFlightGuard {
+    /// Records that the upstream has prefilled the prompt: the first event has
+    /// arrived.
+    pub(super) fn prompt_prefilled(&mut self) {
+        let prefilled = std::mem::take(&mut self.waiting_tokens);
         let mut loads = self.shared.loads();
         if let Some(load) = loads.get_mut(&self.upstream) {
-            load.waiting_tokens = load.waiting_tokens.saturating_sub(waiting);
+            load.waiting_tokens =
+                load.waiting_tokens.saturating_sub(prefilled);
         }
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(asked) = &self.asked {
             let mut running = self.shared.running();
@@ -326,7 +357,8 @@
         }
         let mut loads = self.shared.loads();
         let Some(load) = loads.get_mut(&self.upstream) else { return };
-        load.waiting_tokens = load.waiting_tokens.saturating_sub(self.waiting);
+        load.waiting_tokens =
+            load.waiting_tokens.saturating_sub(self.waiting_tokens);
         load.running = load.running.saturating_sub(1);
         if *load == Load::default() {
             loads.remove(&self.upstream);
