--- a/crates/valehold-gateway/src/traffic/charge.rs
+++ b/crates/valehold-gateway/src/traffic/charge.rs
@@ -1,4 +1,4 @@
-//! What a request is charged to its workspace's limit.
+//! Charges requests against the usage limits of their workspaces.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -14,16 +14,19 @@
 use super::{refusal::Refusal, route::Job, state::App};
 use crate::shared::Shared;
 
-/// What a request was charged. It is given back unless the request was sent.
+/// The usage charged for a request. Dropping the charge refunds the usage,
+/// unless the request may have run.
 pub(super) struct Charge {
     shared: Arc<Shared>,
     workspace: WorkspaceId,
     cost: f64,
+    /// Whether the usage stays charged when this value is dropped.
     is_kept: bool,
 }
 
 impl Charge {
-    /// Notes whether the request may have run: then it stays charged.
+    /// Sets whether the request may have run. If it may, the usage is not
+    /// refunded.
     pub(super) fn keep(&mut self, may_have_run: bool) {
         self.is_kept = may_have_run;
     }
@@ -39,7 +42,10 @@
     }
 }
 
-/// Charges a request to its workspace, if that has a limit.
+/// Charges a request against the limit of its workspace.
+///
+/// Returns `None` if the request has no workspace or the workspace has no
+/// limit, and the refusal for the caller if the limit is reached.
 pub(super) fn charge(
     app: &Rc<App>,
     job: &Job,
@@ -62,6 +68,8 @@
     }))
 }
 
+/// Counts a rejected request in the metrics and returns the refusal for the
+/// caller.
 fn refuse(
     app: &App,
     workspace: &Workspace,
--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -19,7 +19,7 @@
 };
 
 use super::{
-    super::{rights, route::Job, state::App},
+    super::{permits, route::Job, state::App},
     NoChoice,
 };
 use crate::{
@@ -194,7 +194,7 @@
     if !app.shared.rests().is_ready(&one.start(), now) {
         return Some(PassedOverFor::Resting);
     }
-    let is_limited = rights::is_limited(app, one);
+    let is_limited = permits::is_limited(app, one);
     let permit = app.shared.cold().permit_state(&one.id, is_limited, now);
     let is_unavailable = matches!(permit, PermitState::Unavailable { .. });
     (is_limited && is_unavailable).then_some(PassedOverFor::Limited)
--- a/crates/valehold-gateway/src/traffic/choose/mod.rs
+++ b/crates/valehold-gateway/src/traffic/choose/mod.rs
@@ -22,7 +22,7 @@
 pub(super) use self::eligible::{
     current_bound, holders, holders_outside_bound, passed_over, usable,
 };
-use super::{rights, route::Job, state::App};
+use super::{permits, route::Job, state::App};
 use crate::view::Load;
 
 /// The upstream chosen for a send, with the prediction for the send.
@@ -123,9 +123,9 @@
             return Ok((chosen, None));
         }
         // If no permit was granted, `choose` skips this upstream from now on.
-        if let Some(right) = rights::right_for(app, &chosen.upstream.id).await
+        if let Some(permit) = permits::acquire(app, &chosen.upstream.id).await
         {
-            return Ok((chosen, Some(right)));
+            return Ok((chosen, Some(permit)));
         }
     }
 }
--- a/crates/valehold-gateway/src/traffic/crashes.rs
+++ b/crates/valehold-gateway/src/traffic/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash their upstreams: who was there, and who is refused.
+//! Detects crashes of upstreams, and refuses requests that cause them.
 
 use std::{
     cell::RefCell,
@@ -18,23 +18,26 @@
 use super::{route::Job, state::App};
 use crate::events::Event;
 
-/// How long after connections broke off the upstream is asked whether it is
-/// there: a process that ends closes what it has one after the other.
-const ASK_AFTER: Duration = Duration::from_millis(5);
+/// The delay between a broken connection and the probe of the upstream's
+/// address. A process that ends closes its connections and its listener one
+/// after the other, so an immediate probe could still succeed. The delay is
+/// also the interval at which requests wait for the result of the probe.
+const PROBE_DELAY: Duration = Duration::from_millis(5);
 
-/// How long it may take to answer that: a way to another region and back. One
-/// that says nothing may be cut off, and did not crash for all that is known.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(300);
+/// The timeout of the probe, which allows for a round trip to another region.
+/// An upstream that does not answer may be cut off from the network, and does
+/// not count as crashed.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Requests that broke off without any output, by upstream, until it is known
-/// whether that crashed.
+/// Requests that broke off before any output, by upstream, until the probe has
+/// shown whether the upstream crashed.
 #[derive(Debug, Default)]
-pub(super) struct BrokenOff {
+pub(super) struct PendingBreakOffs {
     requests: RefCell<BTreeMap<UpstreamStart, BTreeSet<RequestContent>>>,
 }
 
-impl BrokenOff {
-    /// Adds a request; tells whether it is the first at its upstream.
+impl PendingBreakOffs {
+    /// Adds a request, and returns whether it is the first of its upstream.
     fn add(&self, upstream: UpstreamStart, content: RequestContent) -> bool {
         let mut requests = self.requests.borrow_mut();
         let is_first = !requests.contains_key(&upstream);
@@ -42,101 +45,107 @@
         is_first
     }
 
-    /// Tells whether it is not known yet what an upstream broke off for.
-    fn has(&self, upstream: &UpstreamStart) -> bool {
+    /// Returns whether the result of the probe of an upstream is pending.
+    fn is_pending(&self, upstream: &UpstreamStart) -> bool {
         self.requests.borrow().contains_key(upstream)
     }
 
+    /// Removes and returns the requests of an upstream.
     fn take(&self, upstream: &UpstreamStart) -> BTreeSet<RequestContent> {
         self.requests.borrow_mut().remove(upstream).unwrap_or_default()
     }
 }
 
-/// Notes that an upstream broke off a request without any output of it.
+/// Handles a request that an upstream broke off before any output.
 ///
-/// Connections break for many reasons. A crash is told from these by the
-/// upstream's address, which then refuses connections: within a ms, seconds
-/// before its entry goes.
-pub(super) fn broke_off(app: &Rc<App>, job: &Job, upstream: &Upstream) {
+/// Connections break for many reasons. After a crash, the address of the
+/// upstream refuses connections: within 1 ms of the crash, and seconds before
+/// the entry of the upstream leaves the listing. A probe of the address
+/// therefore distinguishes crashes from other failures.
+pub(super) fn on_break_off(app: &Rc<App>, job: &Job, upstream: &Upstream) {
     let start = upstream.start();
     if app.shared.crashes().has_crashed(start.tag()) {
-        note_crash(app, &start, BTreeSet::from([job.content()]));
+        report_crash(app, &start, BTreeSet::from([job.content()]));
         return;
     }
-    if app.broken_off.add(start.clone(), job.content()) {
+    if app.pending_break_offs.add(start.clone(), job.content()) {
         let (app, address) = (app.clone(), upstream.address);
         tokio::task::spawn_local(async move {
-            time::sleep(ASK_AFTER).await;
-            let has_crashed = refuses(address).await;
-            let under_way = app.broken_off.take(&start);
-            if has_crashed && !is_planned(&app, &start.id) {
-                note_crash(&app, &start, under_way);
+            time::sleep(PROBE_DELAY).await;
+            let has_crashed = refuses_connections(address).await;
+            let in_flight = app.pending_break_offs.take(&start);
+            if has_crashed && !is_planned_shutdown(&app, &start.id) {
+                report_crash(&app, &start, in_flight);
             }
         });
     }
 }
 
-/// Waits until it is known whether an upstream crashed, for a request that
-/// would then be refused: it is not to go to another one meanwhile.
-pub(super) async fn until_known(app: &App, job: &Job, upstream: &Upstream) {
+/// Waits until the probe has shown whether an upstream crashed, if a crash
+/// would lead to the refusal of the request. Without this wait, the request
+/// would be sent to another upstream and could crash that one too.
+pub(super) async fn wait_for_probe(app: &App, job: &Job, upstream: &Upstream) {
     let start = upstream.start();
-    // Most failures are no break-offs, and need no digest of the request.
-    if !app.broken_off.has(&start) {
+    // Most failures are not break-offs. Returning early avoids computing the
+    // digest of the request for these.
+    if !app.pending_break_offs.is_pending(&start) {
         return;
     }
-    let is_close = app.shared.crashes().is_near_refusal(&job.content());
-    while is_close && app.broken_off.has(&start) {
-        time::sleep(ASK_AFTER).await;
+    let is_near_refusal = app.shared.crashes().is_near_refusal(&job.content());
+    while is_near_refusal && app.pending_break_offs.is_pending(&start) {
+        time::sleep(PROBE_DELAY).await;
     }
 }
 
-/// Tells whether nobody takes connections at an address.
-async fn refuses(address: SocketAddr) -> bool {
+/// Returns whether an address refuses connections.
+async fn refuses_connections(address: SocketAddr) -> bool {
     let connecting = TcpStream::connect(address);
-    match time::timeout(ANSWERS_WITHIN, connecting).await {
+    match time::timeout(PROBE_TIMEOUT, connecting).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(_)) | Err(_) => false,
     }
 }
 
-/// Tells whether an upstream said that it would end, or is not listed any
-/// more: what it breaks off then is not a request's doing.
-fn is_planned(app: &App, id: &UpstreamId) -> bool {
+/// Returns whether an upstream has announced that it is leaving, or is no
+/// longer listed. The end of such an upstream is not caused by a request.
+fn is_planned_shutdown(app: &App, id: &UpstreamId) -> bool {
     let view = app.shared.view.load();
     let listed = view.listing.upstreams.get(id);
-    let known = listed.or_else(|| view.lapsed.get(id));
-    known.is_none_or(|upstream| upstream.leaving)
+    let last_listed = listed.or_else(|| view.lapsed.get(id));
+    last_listed.is_none_or(|upstream| upstream.leaving)
 }
 
-fn note_crash(
+/// Logs the crash of an upstream, and records the requests that were in flight
+/// on the upstream.
+fn report_crash(
     app: &App,
     start: &UpstreamStart,
-    under_way: BTreeSet<RequestContent>,
+    in_flight: BTreeSet<RequestContent>,
 ) {
     let event = Event::UpstreamCrashed {
         upstream: start.id.clone(),
-        under_way: under_way.iter().map(ToString::to_string).collect(),
+        under_way: in_flight.iter().map(ToString::to_string).collect(),
     };
     event.log();
     let now = app.now();
-    app.shared.change_crashes(|book| {
-        book.record_crash(start.tag(), under_way, now);
+    app.shared.change_crashes(|crashes| {
+        crashes.record_crash(start.tag(), in_flight, now);
     });
 }
 
-/// Notes that an upstream answered a request with success, or began to: then
-/// it does not crash those that run it.
-pub(super) fn answered(app: &App, job: &Job) {
+/// Records that an upstream answered a request with success, or began to do
+/// so. The request then counts as not crashing upstreams.
+pub(super) fn record_answer(app: &App, job: &Job) {
     if app.shared.crashes().is_empty() {
         return;
     }
     let (content, now) = (job.content(), app.now());
-    app.shared.change_crashes(|book| book.record_answer(content, now));
+    app.shared.change_crashes(|crashes| crashes.record_answer(content, now));
 }
 
-/// Returns for how much longer a request is refused because it crashes its
-/// upstreams, in ms; `None` if it is not.
-pub(super) fn refused_ms(app: &App, job: &Job) -> Option<u64> {
+/// Returns for how much longer a request is refused because it crashes
+/// upstreams, in ms; `None` if the request is not refused.
+pub(super) fn remaining_refusal_ms(app: &App, job: &Job) -> Option<u64> {
     if app.shared.crashes().is_empty() {
         return None;
     }
@@ -144,13 +153,13 @@
     app.shared.crashes().refused_ms(&content, now)
 }
 
-/// Waits until a request that is under way is to be refused.
+/// Waits until an in-flight request is refused because it crashes upstreams.
 ///
-/// It may wait at an upstream and not have begun to run: an upstream that it
-/// leaves now does not crash.
-pub(super) async fn is_refused(app: &App, job: &Job) {
+/// The request may be queued on an upstream and not have started to run.
+/// Cancelling the send at this point keeps that upstream from crashing.
+pub(super) async fn until_refused(app: &App, job: &Job) {
     let mut changes = app.shared.watch_crashes();
-    while refused_ms(app, job).is_none() {
+    while remaining_refusal_ms(app, job).is_none() {
         if changes.changed().await.is_err() {
             std::future::pending().await
         }
--- a/crates/valehold-gateway/src/traffic/exchange/giving_up.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/giving_up.rs
@@ -8,7 +8,7 @@
         crashes,
         refusal::Refusal,
     },
-    Exchange, LEAST_LEFT,
+    Exchange, MIN_TIME_LEFT,
 };
 
 /// In how many ms to come back when no upstream takes a request.
@@ -32,7 +32,7 @@
     /// may run again: a caller that is told to come back sooner would be
     /// refused again.
     pub(super) fn refuse_if_it_crashes(&self) -> Result<(), Refusal> {
-        let left_ms = crashes::refused_ms(&self.app, &self.job);
+        let left_ms = crashes::remaining_refusal_ms(&self.app, &self.job);
         let Some(left_ms) = left_ms else { return Ok(()) };
         let reason = RefusalReason::CrashesUpstreams;
         Err(match self.verdict {
@@ -92,7 +92,7 @@
         reason: RefusalReason,
         come_back_ms: Option<u64>,
     ) -> Refusal {
-        let is_late = self.left() <= LEAST_LEFT;
+        let is_late = self.left() <= MIN_TIME_LEFT;
         let reason = match reason {
             RefusalReason::UpstreamFailed if is_late => {
                 RefusalReason::TimedOut
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -24,16 +24,15 @@
     reason::{RefusalReason, RetryReason},
 };
 
-use self::{beginning::begin, work::note_work};
+use self::{beginning::begin, work::record_work};
 use super::{
     Body,
     answer::{self, Relay},
     charge::{Charge, charge},
     choose::{Chosen, choose, choose_with_permit},
-    crashes,
+    crashes, permits,
     record::Record,
     refusal::Refusal,
-    rights,
     route::Job,
     send::{SendFailure, is_promise},
     state::App,
@@ -44,7 +43,7 @@
 const MOST_TRIES: usize = 4;
 
 /// The least time that another send is worth.
-const LEAST_LEFT: Duration = Duration::from_millis(30);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(30);
 
 /// How many times its objective a resumable stream may take to begin while
 /// another engine could take it.
@@ -103,7 +102,7 @@
         self.refuse_if_it_crashes()?;
         self.refuse_if_unservable()?;
         self.charge = charge(&self.app, &self.job)?;
-        note_work(&self.app, &self.job);
+        record_work(&self.app, &self.job);
         let mut reason = RefusalReason::UpstreamFailed;
         for _ in 0..MOST_TRIES {
             let (chosen, right) = self.choose_or_wait().await?;
@@ -113,7 +112,7 @@
                     self.failed(&chosen, failure)?;
                     reason = match failure.reason {
                         RetryReason::RightOver
-                            if rights::is_limited(
+                            if permits::is_limited(
                                 &self.app,
                                 &chosen.upstream,
                             ) =>
@@ -128,7 +127,8 @@
                     };
                 }
             }
-            crashes::until_known(&self.app, &self.job, &chosen.upstream).await;
+            crashes::wait_for_probe(&self.app, &self.job, &chosen.upstream)
+                .await;
             self.refuse_if_it_crashes()?;
         }
         Err(self.give_up(reason, None))
@@ -154,7 +154,7 @@
         let beginning = begin(&app, &self.job, chosen, right, &mut order);
         let begun = tokio::select! {
             begun = self.patiently(id, patience, beginning) => begun,
-            () = crashes::is_refused(&app, &self.job) => None,
+            () = crashes::until_refused(&app, &self.job) => None,
         };
         let begun = begun.ok_or_else(SendFailure::broken)??;
         let took_ms = sent.elapsed().as_secs_f64() * 1_000.0;
@@ -168,7 +168,7 @@
                 self.record.began(took_ms, end);
                 // A crash may end an answer without a length and any bytes.
                 if head.status.is_success() && !body.is_empty() {
-                    crashes::answered(&app, &self.job);
+                    crashes::record_answer(&app, &self.job);
                 }
                 if self.job.request.variant.is_none() {
                     app.record_accepted(&chosen.upstream.start(), None);
@@ -178,12 +178,10 @@
             Passable::Stream { head, relay } => {
                 self.record.began(took_ms, SendEnd::Answered);
                 if relay.has_output() {
-                    crashes::answered(&app, &self.job);
+                    crashes::record_answer(&app, &self.job);
                 }
                 let start = &chosen.upstream.start();
-                app.update_health(start, |health, now| {
-                    health.record_success(now)
-                });
+                app.update_health(start, |h, now| h.record_success(now));
                 if let Some(variant) = &self.job.request.variant {
                     app.record_accepted(start, Some(variant));
                     app.record_pace(chosen, &variant.model, took_ms);
@@ -223,7 +221,7 @@
         waiting: F,
     ) -> Option<F::Output> {
         let mut waiting = std::pin::pin!(waiting);
-        let patience = patience.max(LEAST_LEFT);
+        let patience = patience.max(MIN_TIME_LEFT);
         loop {
             let by = self.app.now() + Millis::from(patience).get();
             let by = by.min(self.job.deadline);
@@ -245,7 +243,7 @@
         tried.push(upstream.clone());
         job.route.repetition.is_allowed()
             && self.sends + 1 < job.route.attempts
-            && self.left() > LEAST_LEFT
+            && self.left() > MIN_TIME_LEFT
             && self.app.has_retry_left(&job.service_name)
             && choose(&self.app, job, &tried).is_ok()
     }
@@ -257,13 +255,10 @@
         body: Bytes,
     ) -> Result<Passable, SendFailure> {
         let failed = head.status.is_server_error();
-        self.app.update_health(
-            &upstream.start(),
-            |health, now| match failed {
-                true => health.record_failure(now),
-                false => health.record_success(now),
-            },
-        );
+        self.app.update_health(&upstream.start(), |h, now| match failed {
+            true => h.record_failure(now),
+            false => h.record_success(now),
+        });
         let repeatable = self.job.route.repetition.is_allowed();
         if failed && self.can_move_from(&upstream.id) {
             return Err(SendFailure {
@@ -287,11 +282,10 @@
     ) -> Result<(), Refusal> {
         let start = &chosen.upstream.start();
         self.record.failed(&failure);
-        let is_given_up = crashes::refused_ms(&self.app, &self.job).is_some();
+        let is_given_up =
+            crashes::remaining_refusal_ms(&self.app, &self.job).is_some();
         if failure.verdict != Verdict::NotRun && !is_given_up {
-            self.app.update_health(start, |health, now| {
-                health.record_failure(now)
-            });
+            self.app.update_health(start, |h, now| h.record_failure(now));
         }
         self.note_turned_away(start, failure);
         // A right that was over, or a rest, speaks against no upstream: it may
@@ -306,7 +300,7 @@
         self.verdict = self.verdict.worst(failure.verdict);
         self.keep_charge(self.verdict != Verdict::NotRun);
         if failure.cut_off {
-            crashes::broke_off(&self.app, &self.job, &chosen.upstream);
+            crashes::on_break_off(&self.app, &self.job, &chosen.upstream);
         }
         self.refuse_if_it_crashes()?;
         let free = !failure.arrived && self.sends == 0;
@@ -347,7 +341,7 @@
         let job = &self.job;
         let allowed =
             verdict == Verdict::NotRun || job.route.repetition.is_allowed();
-        let has_time = self.left() > LEAST_LEFT;
+        let has_time = self.left() > MIN_TIME_LEFT;
         allowed && self.sends < job.route.attempts && has_time
     }
 
@@ -362,12 +356,11 @@
         &mut self,
         broken: &UpstreamStart,
     ) -> Option<Relay> {
-        self.app
-            .update_health(broken, |health, now| health.record_failure(now));
+        self.app.update_health(broken, |h, now| h.record_failure(now));
         self.record.broke_off();
         self.leave(&broken.id, true);
         for _ in 0..MOST_TRIES {
-            if crashes::refused_ms(&self.app, &self.job).is_some()
+            if crashes::remaining_refusal_ms(&self.app, &self.job).is_some()
                 || !self.take_second_send(Verdict::MayHaveRun)
             {
                 return None;
@@ -384,12 +377,13 @@
                     let start = chosen.upstream.start();
                     if failure.cut_off {
                         let upstream = &chosen.upstream;
-                        crashes::broke_off(&self.app, &self.job, upstream);
+                        crashes::on_break_off(&self.app, &self.job, upstream);
                     }
                     self.note_turned_away(&start, failure);
                     self.leave(&start.id, failure.arrived);
                     let upstream = &chosen.upstream;
-                    crashes::until_known(&self.app, &self.job, upstream).await;
+                    crashes::wait_for_probe(&self.app, &self.job, upstream)
+                        .await;
                 }
             }
         }
--- a/crates/valehold-gateway/src/traffic/exchange/work.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/work.rs
@@ -1,28 +1,31 @@
-//! What a request costs engines, told to control.
+//! Estimates the work that a request causes on engines, and reports the
+//! estimate to the control thread.
 
 use super::super::{route::Job, state::App};
 use crate::shared::Work;
 
-/// How busy a token of output keeps an engine, in ms.
+/// The time that an engine is busy with one output token, in ms.
 const OUTPUT_TOKEN_MS: f64 = 0.1;
 
-/// How busy a token of prompt keeps an engine, in ms.
+/// The time that an engine is busy with one prompt token, in ms.
 const PROMPT_TOKEN_MS: f64 = 1.0 / 38.0;
 
-/// The part of a prompt's shared tokens that an engine is expected to read:
-/// most are cached where requests with the same beginning meet.
-const SHARED_READ_PART: f64 = 0.25;
+/// The fraction of a prompt's shared tokens that an engine is expected to
+/// prefill. The engine that receives the requests with the same beginning has
+/// cached most of these tokens.
+const SHARED_PREFILL_FRACTION: f64 = 0.25;
 
-/// Tells control which work a request makes.
-pub(super) fn note_work(app: &App, job: &Job) {
+/// Adds the estimated work of a request to the work that the control thread
+/// collects. Requests that name no model are not counted.
+pub(super) fn record_work(app: &App, job: &Job) {
     let Some(asked) = job.asked() else { return };
     #[allow(clippy::cast_precision_loss)]
     let tokens = |count: u64| count as f64;
     let parts = &job.request.parts;
     let shared: u64 = parts.iter().rev().skip(1).map(|part| part.tokens).sum();
-    let own = tokens(job.request.prompt_tokens.saturating_sub(shared));
-    let read = own + tokens(shared) * SHARED_READ_PART;
-    let busy_ms = read * PROMPT_TOKEN_MS
+    let unshared = tokens(job.request.prompt_tokens.saturating_sub(shared));
+    let prefilled = unshared + tokens(shared) * SHARED_PREFILL_FRACTION;
+    let busy_ms = prefilled * PROMPT_TOKEN_MS
         + tokens(job.request.output_tokens) * OUTPUT_TOKEN_MS;
     let mut work = app.shared.work();
     let work = work.entry(asked).or_default();
--- a/crates/valehold-gateway/src/traffic/mod.rs
+++ b/crates/valehold-gateway/src/traffic/mod.rs
@@ -1,12 +1,20 @@
-//! Callers' requests, on a thread of their own.
+//! Serves the requests of callers, on a thread of its own.
 //!
-//! A request goes straight through these modules: `face` takes it from the
-//! connection and answers calls to the gateway itself, `route` finds what the
-//! configuration says of it, `charge` counts it to its workspace's limit,
-//! `choose` finds an upstream, `rights` the right to send to one, `send`
-//! brings it there, `words` notes what the answer says of the upstream, and
-//! `answer` passes the whole answer back, event by event where it is a stream.
-//! `exchange` leads it from one to the next.
+//! Each request passes through these modules in order:
+//!
+//! - `face` accepts the request from the connection, and answers calls to the
+//!   gateway itself.
+//! - `route` finds the route, the service and the workspace of the request.
+//! - `charge` charges the request against the limit of its workspace.
+//! - `choose` chooses an upstream.
+//! - `permits` acquires a send permit if the upstream requires one.
+//! - `send` sends the request to the upstream.
+//! - `words` records what the answer states about the upstream: a shutdown, a
+//!   backoff or a request limit.
+//! - `answer` relays the answer to the caller, event by event if the answer is
+//!   a stream.
+//!
+//! `exchange` calls these modules for a request, and repeats sends that fail.
 
 pub mod addresses;
 mod answer;
@@ -15,11 +23,11 @@
 mod crashes;
 mod exchange;
 mod face;
+mod permits;
 mod pool;
 mod record;
 mod refusal;
 mod retry_after;
-mod rights;
 mod route;
 mod send;
 mod server;
@@ -35,7 +43,8 @@
     state::App,
 };
 
-/// An answer was broken off: the caller must not take it for whole.
+/// The error that ends the body of an answer that was broken off, so that the
+/// caller does not take the partial answer for a complete one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BrokenOff;
 
@@ -53,5 +62,5 @@
     }
 }
 
-/// The body of an answer.
+/// The body of an answer to a caller.
 pub type Body = Pin<Box<dyn http_body::Body<Data = Bytes, Error = BrokenOff>>>;
--- a/crates/valehold-gateway/src/traffic/send.rs
+++ b/crates/valehold-gateway/src/traffic/send.rs
@@ -17,7 +17,7 @@
 use valehold_ports::port::fleet::Sending;
 
 use super::{
-    retry_after, rights,
+    permits, retry_after,
     route::Job,
     state::App,
     words::{self, Words},
@@ -159,10 +159,8 @@
             let error = error.to_string();
             Event::UpstreamUnreachable { upstream: upstream_id, error }.log();
             let start = upstream.start();
-            app.update_health(&start, |health, now| {
-                health.record_unreachable(now)
-            });
-            rights::may_have_restarted(app, job, upstream);
+            app.update_health(&start, |h, now| h.record_unreachable(now));
+            permits::on_possible_restart(app, job, upstream);
             SendFailure::not_sent()
         })?;
         if let Some(made_in) = connection.made_in {
@@ -175,7 +173,7 @@
             return Err(SendFailure::not_sent());
         }
         app.dialect.write_request(request.headers_mut(), &sending);
-        if !rights::may_send(app, job, upstream, right) {
+        if !permits::may_send(app, job, upstream, right) {
             return Err(SendFailure::withheld(RetryReason::RightOver));
         }
         if words::has_left(app, upstream) {
@@ -206,7 +204,7 @@
                         upstream.id,
                         error.error()
                     );
-                    rights::may_have_restarted(app, job, upstream);
+                    permits::on_possible_restart(app, job, upstream);
                     return Err(SendFailure::cut_off());
                 }
             },
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -24,7 +24,7 @@
 };
 use valehold_ports::port::fleet::Dialect;
 
-use super::{choose::Chosen, crashes::BrokenOff, pool::Pool};
+use super::{choose::Chosen, crashes::PendingBreakOffs, pool::Pool};
 use crate::{mechanisms::MechanismSettings, shared::Shared, view::Load};
 
 /// How long a hint about an engine's cached prompts is kept, in ms.
@@ -46,7 +46,7 @@
     /// The format of the headers of requests and answers.
     pub dialect: Arc<dyn Dialect>,
     pub(super) pool: Pool,
-    pub(super) broken_off: BrokenOff,
+    pub(super) pending_break_offs: PendingBreakOffs,
     health: RefCell<BTreeMap<UpstreamStart, Health>>,
     paces: RefCell<BTreeMap<UpstreamStart, Pace>>,
     retry_shares: RefCell<BTreeMap<ServiceName, RetryShare>>,
@@ -63,7 +63,7 @@
             pool: Pool::new(shared.clock),
             shared,
             dialect,
-            broken_off: BrokenOff::default(),
+            pending_break_offs: PendingBreakOffs::default(),
             health: RefCell::default(),
             paces: RefCell::default(),
             retry_shares: RefCell::default(),
@@ -213,10 +213,10 @@
         });
     }
 
-    /// Returns whether an upstream recently failed for this gateway, or crashed
-    /// according to any gateway. A crashed upstream stays listed for seconds;
-    /// without this check, requests would use up their tries on the upstream
-    /// during that time.
+    /// Returns whether an upstream recently failed for this gateway, or
+    /// crashed according to any gateway. A crashed upstream stays listed for
+    /// seconds; without this check, requests would use up their tries on the
+    /// upstream during that time.
     pub(super) fn is_suspect(&self, upstream: &UpstreamStart) -> bool {
         if self.shared.crashes().has_crashed(upstream.tag()) {
             return true;
@@ -237,8 +237,8 @@
         self.rejections.borrow_mut().record(upstream, variant, rejection, now);
     }
 
-    /// Records that an upstream accepted a request, so that earlier rejections
-    /// no longer count.
+    /// Records that an upstream accepted a request, which removes the recorded
+    /// rejections of the variant and of its model without an adapter.
     pub(super) fn record_accepted(
         &self,
         upstream: &UpstreamStart,
@@ -298,8 +298,8 @@
         self.hints.borrow_mut()
     }
 
-    /// Counts a request as in flight on an upstream until the returned guard is
-    /// dropped.
+    /// Counts a request as in flight on an upstream until the returned guard
+    /// is dropped.
     pub(super) fn track_in_flight(
         &self,
         upstream: &UpstreamStart,
