--- a/crates/valehold-gateway/src/traffic/answer.rs
+++ b/crates/valehold-gateway/src/traffic/answer.rs
@@ -16,7 +16,7 @@
 
 use super::{
     Body, BrokenOff,
-    exchange::{Exchange, Passable},
+    exchange::{Exchange, ReceivedAnswer},
     route::Job,
     send::{BegunAnswer, Rest, SendFailure},
     state::{App, InFlightGuard},
@@ -174,12 +174,12 @@
             let taking = relay.next(&app, &mut order);
             let taken = self
                 .exchange
-                .patiently(&start.id, LONGEST_PAUSE, taking)
+                .wait_for_upstream(&start.id, LONGEST_PAUSE, taking)
                 .await;
             self.exchange.order = order;
             match taken {
                 Some(Ok(Next::Events(events))) => {
-                    self.exchange.record.passed_on();
+                    self.exchange.record.record_relayed();
                     return Some(Ok(events));
                 }
                 Some(Ok(Next::End)) => {
@@ -211,18 +211,18 @@
 
 /// Passes an answer on.
 pub(super) fn pass(
-    passable: Passable,
+    received: ReceivedAnswer,
     mut exchange: Exchange,
 ) -> Response<Body> {
     let leaving = exchange.app.shared.view.load().life != Life::Serving;
-    let mut answer = match passable {
-        Passable::Whole { head, body } => {
-            exchange.record.passed_on();
+    let mut answer = match received {
+        ReceivedAnswer::Whole { head, body } => {
+            exchange.record.record_relayed();
             exchange.log_answered(head.status);
             let body = Full::new(body).map_err(BrokenOff::from);
             Response::from_parts(head, Box::pin(body) as Body)
         }
-        Passable::Stream { head, relay } => {
+        ReceivedAnswer::Stream { head, relay } => {
             let passing = Passing { exchange, relay: Some(*relay) };
             let events = stream::unfold(passing, |mut passing| async {
                 let next = passing.next().await?;
--- a/crates/valehold-gateway/src/traffic/exchange/beginning.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/beginning.rs
@@ -1,4 +1,4 @@
-//! Sending a request, and taking the beginning of its answer.
+//! Sends a request and receives the beginning of the answer.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -12,46 +12,48 @@
         send::{BegunAnswer, SendFailure, send},
         state::App,
     },
-    Passable,
+    ReceivedAnswer,
 };
 
-/// The most bytes of an answer that is passed on whole.
-const MOST_ANSWER_BYTES: usize = 16 << 20;
+/// The maximum size in bytes of an answer that is not streamed.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Sends a request, and takes its whole answer or a stream's first events.
+/// Sends a request, and receives the whole answer or the first events of a
+/// stream.
 pub(super) async fn begin(
     app: &App,
     job: &Job,
     chosen: &Chosen,
-    right: Option<SendPermit>,
+    permit: Option<SendPermit>,
     order: &mut EventOrder,
-) -> Result<Passable, SendFailure> {
+) -> Result<ReceivedAnswer, SendFailure> {
     let upstream = &chosen.upstream;
-    let asked = job.asked();
+    let variant = job.bound_variant();
     let start = upstream.start();
-    let under_way = app.track_in_flight(&start, asked, chosen.read_tokens);
-    let begun = send(app, job, upstream, right, order.last()).await?;
+    let in_flight = app.track_in_flight(&start, variant, chosen.read_tokens);
+    let begun = send(app, job, upstream, permit, order.last()).await?;
     let head = begun.head.clone();
     if !(job.route.streaming && head.status.is_success()) {
-        let body = take_whole(app, upstream, begun).await?;
-        return Ok(Passable::Whole { head, body });
+        let body = read_whole(app, upstream, begun).await?;
+        return Ok(ReceivedAnswer::Whole { head, body });
     }
-    let mut relay = Relay::new(upstream.clone(), job, begun, under_way);
+    let mut relay = Relay::new(upstream.clone(), job, begun, in_flight);
     let first = relay.first_events(app, order).await?;
     relay.hold(first);
-    Ok(Passable::Stream { head, relay: Box::new(relay) })
+    Ok(ReceivedAnswer::Stream { head, relay: Box::new(relay) })
 }
 
-/// Takes the body of a whole answer.
-async fn take_whole(
+/// Reads the body of an answer that is not streamed. Returns the connection to
+/// the pool if the connection can be reused.
+async fn read_whole(
     app: &App,
     upstream: &Upstream,
     begun: BegunAnswer,
 ) -> Result<Bytes, SendFailure> {
-    let taking = Limited::new(begun.body, MOST_ANSWER_BYTES).collect();
-    let taken = taking.await.map_err(|_| SendFailure::cut_off())?;
+    let reading = Limited::new(begun.body, MAX_ANSWER_BYTES).collect();
+    let collected = reading.await.map_err(|_| SendFailure::cut_off())?;
     if let Some(rest) = begun.rest {
         app.pool.rest(&upstream.start(), begun.sender, rest.stated);
     }
-    Ok(taken.to_bytes())
+    Ok(collected.to_bytes())
 }
--- a/crates/valehold-gateway/src/traffic/exchange/giving_up.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/giving_up.rs
@@ -1,4 +1,4 @@
-//! How a request ends that gets no answer from an upstream.
+//! Refusals of requests that get no answer from an upstream.
 
 use valehold_core::{Millis, Verdict, reason::RefusalReason};
 
@@ -11,26 +11,29 @@
     Exchange, MIN_TIME_LEFT,
 };
 
-/// In how many ms to come back when no upstream takes a request.
-pub(super) const NO_UPSTREAM_COME_BACK_MS: u64 = 400;
+/// The time after which to retry when no upstream is available, in ms.
+pub(super) const NO_UPSTREAM_RETRY_AFTER_MS: u64 = 400;
 
-/// Over how many ms callers that come back for the same upstream are spread:
-/// twice as long as the first request after its rest goes alone.
-const RETURN_SPREAD_MS: u64 = 400;
+/// The range over which the retries of callers that wait for the same upstream
+/// are spread, in ms. The range is twice as long as the time after a backoff
+/// in which the upstream receives only one request.
+const RETRY_SPREAD_MS: u64 = 400;
 
-/// The part of its time that a caller is told to wait at the most.
-const MOST_COME_BACK: f64 = 0.3;
+/// The maximum delay before a retry, as a fraction of the time that the caller
+/// still waits.
+const MAX_RETRY_DELAY_FRACTION: f64 = 0.3;
 
 impl Exchange {
-    /// Returns how long the caller can be told to wait.
-    fn most_wait_ms(&self) -> u64 {
-        let most = self.left().mul_f64(MOST_COME_BACK);
-        Millis::from(most).get().max(1)
+    /// Returns the maximum delay before a retry that the caller can be given,
+    /// in ms.
+    fn max_retry_delay_ms(&self) -> u64 {
+        let max_delay = self.left().mul_f64(MAX_RETRY_DELAY_FRACTION);
+        Millis::from(max_delay).get().max(1)
     }
 
-    /// Refuses a request that crashes the upstreams that run it, with when it
-    /// may run again: a caller that is told to come back sooner would be
-    /// refused again.
+    /// Refuses a request that crashes upstreams. The refusal states the full
+    /// time until the request may run again, because a caller that retries
+    /// sooner would be refused again.
     pub(super) fn refuse_if_it_crashes(&self) -> Result<(), Refusal> {
         let left_ms = crashes::remaining_refusal_ms(&self.app, &self.job);
         let Some(left_ms) = left_ms else { return Ok(()) };
@@ -41,37 +44,50 @@
         })
     }
 
-    /// Refuses a request that only upstreams which rest could take.
-    pub(super) fn refuse_for_rest(&self, retry_after_ms: u64) -> Refusal {
-        self.refuse_until(RefusalReason::UpstreamsResting, retry_after_ms)
+    /// Returns the refusal for a request whose available upstreams are all in
+    /// a backoff.
+    pub(super) fn refuse_for_backoff(&self, retry_after_ms: u64) -> Refusal {
+        self.refuse_with_spread(
+            RefusalReason::UpstreamsResting,
+            retry_after_ms,
+        )
     }
 
-    /// Refuses a request that only upstreams in need could take.
+    /// Returns the refusal for a request whose available upstreams are all
+    /// rate-limited.
     pub(super) fn refuse_for_limit(&self, retry_after_ms: u64) -> Refusal {
-        self.refuse_until(RefusalReason::UpstreamsLimited, retry_after_ms)
+        self.refuse_with_spread(
+            RefusalReason::UpstreamsLimited,
+            retry_after_ms,
+        )
     }
 
-    /// Refuses a request with when an upstream may take one; callers that wait
-    /// for the same moment come back one after the other.
-    fn refuse_until(
+    /// Returns a refusal that states when an upstream may accept a request.
+    /// A random delay is added, so that callers that wait for the same moment
+    /// do not retry all at once.
+    fn refuse_with_spread(
         &self,
         reason: RefusalReason,
         retry_after_ms: u64,
     ) -> Refusal {
-        let spread_ms = rand::random_range(0..=RETURN_SPREAD_MS);
+        let spread_ms = rand::random_range(0..=RETRY_SPREAD_MS);
         self.give_up(reason, Some(retry_after_ms + spread_ms))
     }
 
-    /// Refuses a request that all upstreams which it was sent to turned away
-    /// or failed: at once it could go to another one, or not before one that
-    /// rests may be asked again.
-    pub(super) fn refuse_as_failed(&self, asked_ms: Option<u64>) -> Refusal {
+    /// Returns the refusal for a request that every tried upstream rejected or
+    /// failed to answer.
+    ///
+    /// If an upstream, tried or not, could accept the request, the default
+    /// delay applies. Otherwise the refusal states when an upstream may accept
+    /// a request, if that is known, and else `backoff_ms`, the backoff that
+    /// the last upstream requested.
+    pub(super) fn refuse_as_failed(&self, backoff_ms: Option<u64>) -> Refusal {
         if self.verdict != Verdict::NotRun {
             return self.give_up(RefusalReason::UpstreamFailed, None);
         }
-        let come_back_ms = match choose(&self.app, &self.job, &[]) {
+        let retry_after_ms = match choose(&self.app, &self.job, &[]) {
             Err(NoChoice::AllBackingOff { retry_after_ms }) => {
-                return self.refuse_for_rest(retry_after_ms);
+                return self.refuse_for_backoff(retry_after_ms);
             }
             Err(NoChoice::AllLimited { retry_after_ms }) => {
                 return self.refuse_for_limit(retry_after_ms);
@@ -79,18 +95,18 @@
             Err(NoChoice::WouldBeLate { retry_after_ms, .. }) => {
                 Some(retry_after_ms)
             }
-            Err(_) => asked_ms,
+            Err(_) => backoff_ms,
             Ok(_) => None,
         };
-        self.give_up(RefusalReason::UpstreamFailed, come_back_ms)
+        self.give_up(RefusalReason::UpstreamFailed, retry_after_ms)
     }
 
-    /// Returns the refusal that ends the request: whether it may have run,
-    /// and if not, when to come back.
+    /// Returns the refusal that ends the request. The refusal states whether
+    /// the request may have run and, if it did not run, when to retry.
     pub(super) fn give_up(
         &self,
         reason: RefusalReason,
-        come_back_ms: Option<u64>,
+        retry_after_ms: Option<u64>,
     ) -> Refusal {
         let is_late = self.left() <= MIN_TIME_LEFT;
         let reason = match reason {
@@ -101,9 +117,12 @@
         };
         match self.verdict {
             Verdict::NotRun => {
-                let come_back =
-                    come_back_ms.unwrap_or(NO_UPSTREAM_COME_BACK_MS);
-                Refusal::not_run(reason, come_back.min(self.most_wait_ms()))
+                let delay_ms =
+                    retry_after_ms.unwrap_or(NO_UPSTREAM_RETRY_AFTER_MS);
+                Refusal::not_run(
+                    reason,
+                    delay_ms.min(self.max_retry_delay_ms()),
+                )
             }
             _ => Refusal::may_have_run(reason),
         }
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -1,8 +1,9 @@
-//! Leading a request from its route to its answer.
+//! Processes a routed request until an answer or a refusal is available.
 //!
-//! `waiting` finds the upstream for each send, `beginning` sends the request
-//! and takes the beginning of the answer, and `giving_up` says how a request
-//! ends that gets none. `work` tells control what the request costs.
+//! `waiting` chooses the upstream for each send, `beginning` sends the request
+//! and receives the beginning of the answer, and `giving_up` creates the
+//! refusal if no upstream answers. `work` reports the estimated work of the
+//! request to the control thread.
 
 mod beginning;
 mod giving_up;
@@ -39,41 +40,45 @@
 };
 use crate::events::SendEnd;
 
-/// How many upstreams are tried, counting those that were not reached.
-const MOST_TRIES: usize = 4;
+/// The maximum number of upstreams that are tried, including upstreams that
+/// could not be reached.
+const MAX_TRIES: usize = 4;
 
-/// The least time that another send is worth.
+/// The minimum time before the deadline that makes another send worthwhile.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(30);
 
-/// How many times its objective a resumable stream may take to begin while
-/// another engine could take it.
-const BEGIN_OBJECTIVES: u32 = 2;
+/// The time that a resumable stream may take to begin while another engine is
+/// available, as a multiple of the objective.
+const RESUMABLE_BEGIN_FACTOR: u32 = 2;
 
-/// One request's way to an answer.
+/// The state of one request on the way to its answer.
 pub(super) struct Exchange {
     pub(super) app: Rc<App>,
     pub(super) job: Job,
-    /// What the caller has of a stream.
+    /// The position in the event stream up to which the caller has received
+    /// events.
     pub(super) order: EventOrder,
+    /// The upstreams that are excluded from further sends.
     tried: Vec<UpstreamId>,
-    /// Sends that may have arrived.
+    /// The number of sends that may have reached an upstream.
     sends: u32,
+    /// Whether the request may have run, according to all sends so far.
     verdict: Verdict,
-    /// What its workspace was charged for it.
+    /// The usage charged to the workspace.
     charge: Option<Charge>,
     pub(super) record: Record,
 }
 
-/// An answer that can be passed on.
-pub(super) enum Passable {
-    /// A whole one.
+/// An answer that can be relayed to the caller.
+pub(super) enum ReceivedAnswer {
+    /// An answer that is not streamed.
     Whole { head: http::response::Parts, body: Bytes },
-    /// A stream, from its first event on.
+    /// A stream, beginning with its first event.
     Stream { head: http::response::Parts, relay: Box<Relay> },
 }
 
-/// Leads a request to its answer.
-pub(super) async fn lead(app: Rc<App>, job: Job) -> Response<Body> {
+/// Processes a request and returns the answer or refusal for the caller.
+pub(super) async fn handle(app: Rc<App>, job: Job) -> Response<Body> {
     app.shared.metrics.requested();
     let id = job.request.id.clone();
     let after = job.request.after_event;
@@ -88,7 +93,7 @@
         record: Record::new(app.shared.clock),
     };
     match exchange.run().await {
-        Ok(passable) => answer::pass(passable, exchange),
+        Ok(received) => answer::pass(received, exchange),
         Err(refusal) => {
             exchange.log_refusal(&refusal);
             refusal.into_answer(&app, id.as_ref())
@@ -97,19 +102,20 @@
 }
 
 impl Exchange {
-    /// Sends the request until there is an answer to pass on.
-    async fn run(&mut self) -> Result<Passable, Refusal> {
+    /// Sends the request, to several upstreams if necessary, until an answer
+    /// can be relayed or the request is refused.
+    async fn run(&mut self) -> Result<ReceivedAnswer, Refusal> {
         self.refuse_if_it_crashes()?;
         self.refuse_if_unservable()?;
         self.charge = charge(&self.app, &self.job)?;
         record_work(&self.app, &self.job);
         let mut reason = RefusalReason::UpstreamFailed;
-        for _ in 0..MOST_TRIES {
-            let (chosen, right) = self.choose_or_wait().await?;
-            match self.attempt(&chosen, right).await {
-                Ok(passable) => return Ok(passable),
+        for _ in 0..MAX_TRIES {
+            let (chosen, permit) = self.choose_or_wait().await?;
+            match self.attempt(&chosen, permit).await {
+                Ok(received) => return Ok(received),
                 Err(failure) => {
-                    self.failed(&chosen, failure)?;
+                    self.on_send_failure(&chosen, failure)?;
                     reason = match failure.reason {
                         RetryReason::RightOver
                             if permits::is_limited(
@@ -134,49 +140,51 @@
         Err(self.give_up(reason, None))
     }
 
-    /// Sends the request once, and takes as much of the answer as is needed
-    /// to pass it on.
+    /// Sends the request once, and receives the answer up to the point from
+    /// which the answer can be relayed.
     async fn attempt(
         &mut self,
         chosen: &Chosen,
-        right: Option<SendPermit>,
-    ) -> Result<Passable, SendFailure> {
+        permit: Option<SendPermit>,
+    ) -> Result<ReceivedAnswer, SendFailure> {
         let app = self.app.clone();
         if self.sends == 0 {
             app.record_first_send(&self.job.service_name);
         }
         let id = &chosen.upstream.id;
         self.keep_charge(true);
-        self.record.sent(chosen);
+        self.record.record_send(chosen);
         let mut order = self.order;
-        let patience = self.patience();
+        let timeout = self.begin_timeout();
         let sent = Instant::now();
-        let beginning = begin(&app, &self.job, chosen, right, &mut order);
+        let beginning = begin(&app, &self.job, chosen, permit, &mut order);
         let begun = tokio::select! {
-            begun = self.patiently(id, patience, beginning) => begun,
+            begun = self.wait_for_upstream(id, timeout, beginning) => begun,
             () = crashes::until_refused(&app, &self.job) => None,
         };
         let begun = begun.ok_or_else(SendFailure::broken)??;
         let took_ms = sent.elapsed().as_secs_f64() * 1_000.0;
         self.order = order;
         match begun {
-            Passable::Whole { head, body } => {
+            ReceivedAnswer::Whole { head, body } => {
                 let end = match head.status.is_server_error() {
                     true => SendEnd::Failed,
                     false => SendEnd::Answered,
                 };
-                self.record.began(took_ms, end);
-                // A crash may end an answer without a length and any bytes.
+                self.record.record_answer(took_ms, end);
+                // A crash of the upstream can end an answer that states no
+                // length before any bytes, so an empty body does not prove
+                // success.
                 if head.status.is_success() && !body.is_empty() {
                     crashes::record_answer(&app, &self.job);
                 }
                 if self.job.request.variant.is_none() {
                     app.record_accepted(&chosen.upstream.start(), None);
                 }
-                self.judge_whole(&chosen.upstream, head, body)
+                self.check_whole_answer(&chosen.upstream, head, body)
             }
-            Passable::Stream { head, relay } => {
-                self.record.began(took_ms, SendEnd::Answered);
+            ReceivedAnswer::Stream { head, relay } => {
+                self.record.record_answer(took_ms, SendEnd::Answered);
                 if relay.has_output() {
                     crashes::record_answer(&app, &self.job);
                 }
@@ -190,54 +198,55 @@
                     pace.observe(took_ms, chosen.typical_ms, now);
                 });
                 app.hints().note(start, &chosen.blocks, app.now());
-                Ok(Passable::Stream { head, relay })
+                Ok(ReceivedAnswer::Stream { head, relay })
             }
         }
     }
 
-    /// Returns how long the caller still waits.
+    /// Returns the time left until the deadline of the request.
     fn left(&self) -> Duration {
         self.app.shared.clock.until(self.job.deadline)
     }
 
-    /// Returns how long an answer may take to begin where another upstream
-    /// could give it.
-    fn patience(&self) -> Duration {
+    /// Returns the time that an answer may take to begin while another
+    /// upstream is available.
+    fn begin_timeout(&self) -> Duration {
         let objective = Duration::from_millis(self.job.route.begin_within_ms);
         match self.job.route.repetition {
-            Repetition::Resumable => objective * BEGIN_OBJECTIVES,
+            Repetition::Resumable => objective * RESUMABLE_BEGIN_FACTOR,
             Repetition::Safe | Repetition::Once => objective,
         }
     }
 
-    /// Waits for something of an upstream; `None` means to leave it.
+    /// Waits for a result from an upstream, or returns `None` if the upstream
+    /// should be abandoned.
     ///
-    /// Its silence alone ends no answer: only where another one can go on is
-    /// it left, and at the deadline.
-    pub(super) async fn patiently<F: Future>(
+    /// A timeout alone does not end the wait. An upstream is abandoned only if
+    /// another upstream can take over the request, or at the deadline.
+    pub(super) async fn wait_for_upstream<F: Future>(
         &self,
         upstream: &UpstreamId,
-        patience: Duration,
+        timeout: Duration,
         waiting: F,
     ) -> Option<F::Output> {
         let mut waiting = std::pin::pin!(waiting);
-        let patience = patience.max(MIN_TIME_LEFT);
+        let timeout = timeout.max(MIN_TIME_LEFT);
         loop {
-            let by = self.app.now() + Millis::from(patience).get();
-            let by = by.min(self.job.deadline);
+            let until = self.app.now() + Millis::from(timeout).get();
+            let until = until.min(self.job.deadline);
             let clock = &self.app.shared.clock;
-            let came = clock.wait_until(by, waiting.as_mut()).await;
-            if came.is_some() {
-                return came;
+            let result = clock.wait_until(until, waiting.as_mut()).await;
+            if result.is_some() {
+                return result;
             }
-            if self.left().is_zero() || self.can_move_from(upstream) {
+            if self.left().is_zero() || self.can_switch_from(upstream) {
                 return None;
             }
         }
     }
 
-    /// Tells whether another upstream could take the request over now.
-    fn can_move_from(&self, upstream: &UpstreamId) -> bool {
+    /// Returns whether another upstream could take over the request now.
+    fn can_switch_from(&self, upstream: &UpstreamId) -> bool {
         let job = &self.job;
         let mut tried = self.tried.clone();
         tried.push(upstream.clone());
@@ -248,54 +257,60 @@
             && choose(&self.app, job, &tried).is_ok()
     }
 
-    fn judge_whole(
+    /// Records the result of a whole answer, and returns an error if the
+    /// request can be sent to another upstream instead.
+    fn check_whole_answer(
         &self,
         upstream: &Upstream,
         mut head: http::response::Parts,
         body: Bytes,
-    ) -> Result<Passable, SendFailure> {
+    ) -> Result<ReceivedAnswer, SendFailure> {
         let failed = head.status.is_server_error();
         self.app.update_health(&upstream.start(), |h, now| match failed {
             true => h.record_failure(now),
             false => h.record_success(now),
         });
         let repeatable = self.job.route.repetition.is_allowed();
-        if failed && self.can_move_from(&upstream.id) {
+        if failed && self.can_switch_from(&upstream.id) {
             return Err(SendFailure {
                 reason: RetryReason::RepeatableCall,
                 ..SendFailure::broken()
             });
         }
         if is_promise(head.status) && !repeatable {
-            // Only the upstream's word makes it a promise, and there is none.
+            // The status would promise the caller that the request did not
+            // run. Only a statement of the upstream makes this certain, and
+            // the answer contains none.
             head.status = StatusCode::BAD_GATEWAY;
             self.app.dialect.unsign(&mut head.headers);
         }
-        Ok(Passable::Whole { head, body })
+        Ok(ReceivedAnswer::Whole { head, body })
     }
 
-    /// Takes in a failed send; an error ends the request.
-    fn failed(
+    /// Records a failed send. Returns an error if the failure ends the
+    /// request.
+    fn on_send_failure(
         &mut self,
         chosen: &Chosen,
         failure: SendFailure,
     ) -> Result<(), Refusal> {
         let start = &chosen.upstream.start();
-        self.record.failed(&failure);
-        let is_given_up =
+        self.record.record_failure(&failure);
+        let is_refused =
             crashes::remaining_refusal_ms(&self.app, &self.job).is_some();
-        if failure.verdict != Verdict::NotRun && !is_given_up {
+        if failure.verdict != Verdict::NotRun && !is_refused {
             self.app.update_health(start, |h, now| h.record_failure(now));
         }
-        self.note_turned_away(start, failure);
-        // A right that was over, or a rest, speaks against no upstream: it may
-        // be had again. Left, the only one that is there would count as failed.
-        let may_be_had_again = matches!(
+        self.record_rejection(start, failure);
+        // An expired permit or a backoff is no failure of the upstream, which
+        // may become available again. Excluding the upstream here would refuse
+        // the request as failed if no other upstream is available.
+        let may_try_again = matches!(
             failure.reason,
             RetryReason::RightOver | RetryReason::UpstreamResting
         );
-        if !may_be_had_again {
-            self.leave(&start.id, failure.arrived);
+        if !may_try_again {
+            self.exclude(&start.id, failure.arrived);
         }
         self.verdict = self.verdict.worst(failure.verdict);
         self.keep_charge(self.verdict != Verdict::NotRun);
@@ -303,41 +318,46 @@
             crashes::on_break_off(&self.app, &self.job, &chosen.upstream);
         }
         self.refuse_if_it_crashes()?;
-        let free = !failure.arrived && self.sends == 0;
-        if free || self.take_second_send(failure.verdict) {
+        let is_free = !failure.arrived && self.sends == 0;
+        if is_free || self.try_take_retry(failure.verdict) {
             self.app.shared.metrics.retried(failure.reason);
             return Ok(());
         }
-        let asked_ms = failure.rest.map(|rest| Millis::from(rest).get());
-        Err(self.refuse_as_failed(asked_ms))
+        let backoff_ms = failure.rest.map(|rest| Millis::from(rest).get());
+        Err(self.refuse_as_failed(backoff_ms))
     }
 
-    /// Keeps what was charged for the request while it may have run.
+    /// Sets whether the charge for the request is kept, because the request
+    /// may have run.
     fn keep_charge(&mut self, may_have_run: bool) {
         if let Some(charge) = &mut self.charge {
             charge.keep(may_have_run);
         }
     }
 
-    fn note_turned_away(
+    /// Records that an upstream rejected the request, if that is why the send
+    /// failed.
+    fn record_rejection(
         &self,
         upstream: &UpstreamStart,
         failure: SendFailure,
     ) {
-        if let Some(why) = failure.turned_away {
+        if let Some(rejection) = failure.turned_away {
             let variant = self.job.request.variant.as_ref();
-            self.app.record_rejection(upstream, variant, why);
+            self.app.record_rejection(upstream, variant, rejection);
         }
     }
 
-    /// Notes that an upstream is done with, and whether it was sent to.
-    fn leave(&mut self, upstream: &UpstreamId, arrived: bool) {
+    /// Excludes an upstream from further sends, and counts the send if the
+    /// request may have arrived.
+    fn exclude(&mut self, upstream: &UpstreamId, arrived: bool) {
         self.tried.push(upstream.clone());
         self.sends += u32::from(arrived);
     }
 
-    /// Tells whether another send may follow, but for the budget.
-    fn may_follow(&self, verdict: Verdict) -> bool {
+    /// Returns whether the route, the verdict and the deadline allow another
+    /// send. The retry budget is not checked.
+    fn may_retry(&self, verdict: Verdict) -> bool {
         let job = &self.job;
         let allowed =
             verdict == Verdict::NotRun || job.route.repetition.is_allowed();
@@ -345,42 +365,46 @@
         allowed && self.sends < job.route.attempts && has_time
     }
 
-    fn take_second_send(&self, verdict: Verdict) -> bool {
-        self.may_follow(verdict)
+    /// Returns whether another send is allowed, and takes the send from the
+    /// retry budget.
+    fn try_take_retry(&self, verdict: Verdict) -> bool {
+        self.may_retry(verdict)
             && self.app.try_take_retry(&self.job.service_name)
     }
 
-    /// Sends a broken stream's request to other upstreams, until one goes on
-    /// after the last event that was passed on.
+    /// Resumes a broken stream: sends the request to other upstreams until one
+    /// continues the stream after the last relayed event.
     pub(super) async fn resume(
         &mut self,
         broken: &UpstreamStart,
     ) -> Option<Relay> {
         self.app.update_health(broken, |h, now| h.record_failure(now));
-        self.record.broke_off();
-        self.leave(&broken.id, true);
-        for _ in 0..MOST_TRIES {
+        self.record.record_break_off();
+        self.exclude(&broken.id, true);
+        for _ in 0..MAX_TRIES {
             if crashes::remaining_refusal_ms(&self.app, &self.job).is_some()
-                || !self.take_second_send(Verdict::MayHaveRun)
+                || !self.try_take_retry(Verdict::MayHaveRun)
             {
                 return None;
             }
             let choosing =
                 choose_with_permit(&self.app, &self.job, &self.tried);
-            let (chosen, right) = choosing.await.ok()?;
+            let (chosen, permit) = choosing.await.ok()?;
             self.app.shared.metrics.retried(RetryReason::StreamResumed);
-            match self.attempt(&chosen, right).await {
-                Ok(Passable::Stream { relay, .. }) => return Some(*relay),
-                Ok(Passable::Whole { .. }) => return None,
+            match self.attempt(&chosen, permit).await {
+                Ok(ReceivedAnswer::Stream { relay, .. }) => {
+                    return Some(*relay);
+                }
+                Ok(ReceivedAnswer::Whole { .. }) => return None,
                 Err(failure) => {
-                    self.record.failed(&failure);
+                    self.record.record_failure(&failure);
                     let start = chosen.upstream.start();
                     if failure.cut_off {
                         let upstream = &chosen.upstream;
                         crashes::on_break_off(&self.app, &self.job, upstream);
                     }
-                    self.note_turned_away(&start, failure);
-                    self.leave(&start.id, failure.arrived);
+                    self.record_rejection(&start, failure);
+                    self.exclude(&start.id, failure.arrived);
                     let upstream = &chosen.upstream;
                     crashes::wait_for_probe(&self.app, &self.job, upstream)
                         .await;
--- a/crates/valehold-gateway/src/traffic/exchange/waiting.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/waiting.rs
@@ -1,4 +1,4 @@
-//! Finding the upstream for a send, and waiting for it a little.
+//! Chooses the upstream for a send, and waits briefly if none is available.
 
 use std::time::Duration;
 
@@ -17,42 +17,45 @@
         refusal::Refusal,
     },
     Exchange,
-    giving_up::NO_UPSTREAM_COME_BACK_MS,
+    giving_up::NO_UPSTREAM_RETRY_AFTER_MS,
 };
 
-/// How often a request that waits for an adapter looks again.
-const LOOK_AGAIN: Duration = Duration::from_millis(8);
+/// The interval at which a waiting request tries again to choose an upstream.
+const POLL_INTERVAL: Duration = Duration::from_millis(8);
 
-/// After how many looks the wish is repeated.
-const WISH_EVERY: u32 = 12;
+/// The number of polls after which the load request is repeated.
+const POLLS_PER_LOAD_REQUEST: u32 = 12;
 
-/// How long an engine takes from an order about an adapter to having it.
-const ADAPTER_SETTLES: Duration = Duration::from_millis(30);
+/// The time that an engine takes to load an adapter after the order.
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(30);
 
-/// The part of its objective that a request may wait for its model.
-const WAIT_PART: f64 = 0.22;
+/// The maximum time that a request waits for an upstream, as a fraction of the
+/// objective for the beginning of the answer.
+const MAX_WAIT_FRACTION: f64 = 0.22;
 
-/// In how many ms to come back for an adapter that is not loaded.
-const ADAPTER_COME_BACK_MS: u64 = 800;
+/// The time after which to retry a request for an adapter that is not loaded,
+/// in ms.
+const ADAPTER_RETRY_AFTER_MS: u64 = 800;
 
-/// In how many ms to come back for a model that is not loaded: a load from
-/// the weight store takes about so long.
-const MODEL_COME_BACK_MS: u64 = 3_500;
+/// The time after which to retry a request for a model that is not loaded, in
+/// ms. A load from the weight store takes about this long.
+const MODEL_RETRY_AFTER_MS: u64 = 3_500;
 
-/// In how many ms to come back while nobody may give orders.
-const NO_HOLDER_COME_BACK_MS: u64 = 3_500;
+/// The time after which to retry while no gateway holds the lease, so that no
+/// engine is ordered to load the model, in ms.
+const NO_HOLDER_RETRY_AFTER_MS: u64 = 3_500;
 
-/// In how many ms to come back to a bound without upstreams: one has to start
-/// there and to be listed.
-const NONE_IN_BOUND_COME_BACK_MS: u64 = 3_500;
+/// The time after which to retry while no upstream is inside the region bound,
+/// in ms. An upstream has to start there and to be listed.
+const NONE_IN_BOUND_RETRY_AFTER_MS: u64 = 3_500;
 
-/// In how many ms to come back where no region is allowed: operators have to
-/// change the configuration.
-const EMPTY_BOUND_COME_BACK_MS: u64 = 30_000;
+/// The time after which to retry a request whose region bound allows no
+/// region, in ms. Operators have to change the configuration first.
+const EMPTY_BOUND_RETRY_AFTER_MS: u64 = 30_000;
 
 impl Exchange {
-    /// Refuses a request that no region may serve before its workspace is
-    /// charged for it.
+    /// Refuses a request whose region bound allows no region. Called before
+    /// the workspace is charged, so that the request costs nothing.
     pub(super) fn refuse_if_unservable(&self) -> Result<(), Refusal> {
         let view = self.app.shared.view.load();
         match current_bound(&view, &self.job).is_empty() {
@@ -61,26 +64,28 @@
         }
     }
 
+    /// Returns the refusal for a request whose region bound allows no region.
     fn refuse_for_empty_bound(&self) -> Refusal {
-        let come_back = Some(EMPTY_BOUND_COME_BACK_MS);
-        self.give_up(RefusalReason::EmptyBound, come_back)
+        let retry_after = Some(EMPTY_BOUND_RETRY_AFTER_MS);
+        self.give_up(RefusalReason::EmptyBound, retry_after)
     }
 
-    /// Chooses an upstream; waits a little for a model that is not held.
+    /// Chooses an upstream. If none is available or none holds the model,
+    /// waits for a fraction of the objective before the request is refused.
     pub(super) async fn choose_or_wait(
         &mut self,
     ) -> Result<(Chosen, Option<SendPermit>), Refusal> {
         let objective = Duration::from_millis(self.job.route.begin_within_ms);
-        let wait = Millis::from(objective.mul_f64(WAIT_PART)).get();
+        let wait = Millis::from(objective.mul_f64(MAX_WAIT_FRACTION)).get();
         let until = (self.app.now() + wait).min(self.job.deadline);
-        let mut looks: u32 = 0;
+        let mut polls: u32 = 0;
         loop {
             let choosing =
                 choose_with_permit(&self.app, &self.job, &self.tried);
             let no_choice = match choosing.await {
                 Ok(chosen) => {
-                    if looks > 0 {
-                        tokio::time::sleep(ADAPTER_SETTLES).await;
+                    if polls > 0 {
+                        tokio::time::sleep(ADAPTER_LOAD_TIME).await;
                     }
                     return Ok(chosen);
                 }
@@ -88,7 +93,7 @@
             };
             match no_choice {
                 NoChoice::WouldBeLate { predicted_ms, retry_after_ms } => {
-                    self.record.predicted(predicted_ms);
+                    self.record.record_prediction(predicted_ms);
                     let reason = RefusalReason::WouldBeLate;
                     return Err(self.give_up(reason, Some(retry_after_ms)));
                 }
@@ -97,8 +102,8 @@
                 }
                 NoChoice::NoneInBound => {
                     let reason = RefusalReason::NoUpstreamInBound;
-                    let come_back = Some(NONE_IN_BOUND_COME_BACK_MS);
-                    return Err(self.give_up(reason, come_back));
+                    let retry_after = Some(NONE_IN_BOUND_RETRY_AFTER_MS);
+                    return Err(self.give_up(reason, retry_after));
                 }
                 NoChoice::AllCold { retry_after_ms }
                     if self.app.now() + retry_after_ms >= until =>
@@ -114,46 +119,49 @@
                 NoChoice::AllBackingOff { retry_after_ms }
                     if self.app.now() + retry_after_ms >= until =>
                 {
-                    return Err(self.refuse_for_rest(retry_after_ms));
+                    return Err(self.refuse_for_backoff(retry_after_ms));
                 }
                 NoChoice::AllCold { .. }
                 | NoChoice::AllLimited { .. }
                 | NoChoice::AllBackingOff { .. } => {}
                 NoChoice::NoUpstream if self.tried.is_empty() => {}
                 NoChoice::NoUpstream => {
-                    // The holder of the lease looks after those that failed.
-                    self.wish(0);
+                    // Another engine may have to load the model in place of
+                    // the failed ones, which the lease holder decides.
+                    self.request_load(0);
                     return Err(self.refuse_as_failed(None));
                 }
-                NoChoice::NotHeld => self.wish(looks),
+                NoChoice::NotHeld => self.request_load(polls),
             }
             if self.app.now() >= until {
-                let reason = self.lack();
-                let come_back = self.come_back_ms(no_choice);
-                return Err(self.give_up(reason, Some(come_back)));
+                let reason = self.unavailable_reason();
+                let retry_after = self.retry_after_ms(no_choice);
+                return Err(self.give_up(reason, Some(retry_after)));
             }
-            looks += 1;
-            tokio::time::sleep(LOOK_AGAIN).await;
+            polls += 1;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Returns what keeps a request waiting in vain: its bound where others
-    /// outside could take it, so that operators can tell that from a lack of
-    /// upstreams altogether.
-    fn lack(&self) -> RefusalReason {
+    /// Returns the reason to refuse a request that waited without success.
+    ///
+    /// The reason is the region bound if only upstreams outside the bound hold
+    /// the model, so that operators can distinguish this case from a general
+    /// lack of upstreams.
+    fn unavailable_reason(&self) -> RefusalReason {
         let view = self.app.shared.view.load();
         let is_held = holders(&self.app, &view, &self.job).next().is_some();
-        let elsewhere = holders_outside_bound(&self.app, &view, &self.job);
-        match !is_held && elsewhere > 0 {
+        let outside = holders_outside_bound(&self.app, &view, &self.job);
+        match !is_held && outside > 0 {
             true => RefusalReason::NoUpstreamInBound,
             false => RefusalReason::NoUpstream,
         }
     }
 
-    /// Returns in how many ms what is missing may be there.
-    fn come_back_ms(&self, no_choice: NoChoice) -> u64 {
+    /// Returns the time after which an upstream may be available, in ms.
+    fn retry_after_ms(&self, no_choice: NoChoice) -> u64 {
         if no_choice != NoChoice::NotHeld {
-            return NO_UPSTREAM_COME_BACK_MS;
+            return NO_UPSTREAM_RETRY_AFTER_MS;
         }
         let view = self.app.shared.view.load();
         let variant = self.job.request.variant.as_ref();
@@ -163,19 +171,21 @@
             usable.any(|upstream| upstream.holding.can_run(&model))
         });
         match (view.has_holder, holds_model) {
-            (false, _) => NO_HOLDER_COME_BACK_MS,
-            (true, true) => ADAPTER_COME_BACK_MS,
-            (true, false) => MODEL_COME_BACK_MS,
+            (false, _) => NO_HOLDER_RETRY_AFTER_MS,
+            (true, true) => ADAPTER_RETRY_AFTER_MS,
+            (true, false) => MODEL_RETRY_AFTER_MS,
         }
     }
 
-    fn wish(&self, looks: u32) {
-        if !looks.is_multiple_of(WISH_EVERY) {
+    /// Asks the control thread to have the requested variant loaded. A waiting
+    /// request repeats this every [`POLLS_PER_LOAD_REQUEST`] polls.
+    fn request_load(&self, polls: u32) {
+        if !polls.is_multiple_of(POLLS_PER_LOAD_REQUEST) {
             return;
         }
-        let Some(asked) = self.job.asked() else { return };
+        let Some(variant) = self.job.bound_variant() else { return };
         let view = self.app.shared.view.load();
         let bound = current_bound(&view, &self.job).into_owned();
-        self.app.shared.wish(&Asked { bound, ..asked });
+        self.app.shared.wish(&Asked { bound, ..variant });
     }
 }
--- a/crates/valehold-gateway/src/traffic/exchange/work.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/work.rs
@@ -18,7 +18,7 @@
 /// Adds the estimated work of a request to the work that the control thread
 /// collects. Requests that name no model are not counted.
 pub(super) fn record_work(app: &App, job: &Job) {
-    let Some(asked) = job.asked() else { return };
+    let Some(variant) = job.bound_variant() else { return };
     #[allow(clippy::cast_precision_loss)]
     let tokens = |count: u64| count as f64;
     let parts = &job.request.parts;
@@ -28,7 +28,7 @@
     let busy_ms = prefilled * PROMPT_TOKEN_MS
         + tokens(job.request.output_tokens) * OUTPUT_TOKEN_MS;
     let mut work = app.shared.work();
-    let work = work.entry(asked).or_default();
+    let work = work.entry(variant).or_default();
     *work = Work {
         requests: work.requests + 1.0,
         busy_ms: work.busy_ms + busy_ms,
--- a/crates/valehold-gateway/src/traffic/face.rs
+++ b/crates/valehold-gateway/src/traffic/face.rs
@@ -46,8 +46,8 @@
 }
 
 async fn pass_on(app: Rc<App>, request: Request<Incoming>) -> Response<Body> {
-    match route::find(&app, request).await {
-        Ok(job) => exchange::lead(app, job).await,
+    match route::accept(&app, request).await {
+        Ok(job) => exchange::handle(app, job).await,
         Err((id, refusal)) => {
             log_unrouted(id.as_deref(), &refusal);
             refusal.into_answer(&app, id.as_ref())
--- a/crates/valehold-gateway/src/traffic/record.rs
+++ b/crates/valehold-gateway/src/traffic/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of a request for the line that it leaves in the log.
+//! Records the course of a request for the event that is logged at its end.
 
 use http::StatusCode;
 use log::log_enabled;
@@ -24,10 +24,10 @@
 };
 use crate::{clock::Clock, view::View};
 
-/// What happened to a request so far.
+/// The course of a request so far.
 pub(super) struct Record {
     clock: Clock,
-    came: Millis,
+    arrived: Millis,
     first: Option<Millis>,
     last_event: Option<Millis>,
     longest_pause_ms: Option<u64>,
@@ -37,11 +37,11 @@
 }
 
 impl Record {
-    /// Begins the record of a request that came just now.
+    /// Creates the record of a request that arrives now.
     pub(super) fn new(clock: Clock) -> Self {
         Self {
             clock,
-            came: clock.now(),
+            arrived: clock.now(),
             first: None,
             last_event: None,
             longest_pause_ms: None,
@@ -51,19 +51,19 @@
         }
     }
 
-    /// Notes when the first event was predicted for a request that is turned
-    /// away for it.
-    pub(super) fn predicted(&mut self, predicted_ms: f64) {
+    /// Records the predicted time to the first event of a request that is
+    /// refused because of the prediction.
+    pub(super) fn record_prediction(&mut self, predicted_ms: f64) {
         self.predicted_ms = Some(predicted_ms);
     }
 
-    /// Notes that the request is sent.
-    pub(super) fn sent(&mut self, chosen: &Chosen) {
+    /// Records a send of the request.
+    pub(super) fn record_send(&mut self, chosen: &Chosen) {
         self.predicted_ms = Some(chosen.predicted_ms);
         self.sends.push(SendRecord {
             upstream: chosen.upstream.id.clone(),
-            at_ms: self.clock.now().since(self.came),
-            predicted_ms: whole(chosen.predicted_ms),
+            at_ms: self.clock.now().since(self.arrived),
+            predicted_ms: round_ms(chosen.predicted_ms),
             running: chosen.load.running,
             waiting_tokens: chosen.load.waiting_tokens,
             read_tokens: chosen.read_tokens,
@@ -73,16 +73,16 @@
         });
     }
 
-    /// Notes that the last send brought an answer to pass on.
-    pub(super) fn began(&mut self, took_ms: f64, end: SendEnd) {
+    /// Records that the last send led to an answer that can be relayed.
+    pub(super) fn record_answer(&mut self, took_ms: f64, end: SendEnd) {
         if let Some(send) = self.sends.last_mut() {
-            send.first_ms = Some(whole(took_ms));
+            send.first_ms = Some(round_ms(took_ms));
             send.end = end;
         }
     }
 
-    /// Notes that the last send failed.
-    pub(super) fn failed(&mut self, failure: &SendFailure) {
+    /// Records that the last send failed.
+    pub(super) fn record_failure(&mut self, failure: &SendFailure) {
         if let Some(send) = self.sends.last_mut() {
             send.rest_ms = failure.rest.map(|rest| Millis::from(rest).get());
             send.end = match failure.turned_away {
@@ -95,15 +95,15 @@
         }
     }
 
-    /// Notes that the last send's answer broke off midway.
-    pub(super) fn broke_off(&mut self) {
+    /// Records that the answer to the last send broke off after it had begun.
+    pub(super) fn record_break_off(&mut self) {
         if let Some(send) = self.sends.last_mut() {
             send.end = SendEnd::Broken;
         }
     }
 
-    /// Notes that events, or a whole answer, are passed on.
-    pub(super) fn passed_on(&mut self) {
+    /// Records that events, or a whole answer, are relayed to the caller.
+    pub(super) fn record_relayed(&mut self) {
         let now = self.clock.now();
         self.first.get_or_insert(now);
         if let Some(last) = self.last_event.replace(now) {
@@ -114,22 +114,23 @@
 }
 
 impl Exchange {
-    /// Logs how the request ended, once.
+    /// Logs how the request ended. Only the first call has an effect.
     pub(super) fn log_end(&mut self, end: RequestEnd) {
         if std::mem::replace(&mut self.record.is_logged, true) {
             return;
         }
         if log_enabled!(target: EVENT_TARGET, self.course(end).level()) {
-            Event::RequestEnded(Box::new(self.ended(end))).log();
+            Event::RequestEnded(Box::new(self.ended_event(end))).log();
         }
     }
 
-    /// Returns what decides at which level the request's line is logged.
+    /// Returns the properties of the request that determine the level of its
+    /// log line.
     fn course(&self, end: RequestEnd) -> RequestCourse {
         let record = &self.record;
         RequestCourse {
             end,
-            first_ms: record.first.map(|at| at.since(record.came)),
+            first_ms: record.first.map(|at| at.since(record.arrived)),
             longest_pause_ms: record.longest_pause_ms,
             begin_within_ms: self.job.route.begin_within_ms,
             pause_within_ms: self.job.route.pause_within_ms,
@@ -142,7 +143,7 @@
         self.log_end(refusal.end());
     }
 
-    /// Logs that the request got an answer of an upstream.
+    /// Logs that the request was answered by an upstream.
     pub(super) fn log_answered(&mut self, status: StatusCode) {
         self.log_end(RequestEnd {
             outcome: RequestOutcome::Answered,
@@ -164,10 +165,11 @@
         });
     }
 
-    fn ended(&mut self, end: RequestEnd) -> RequestEnded {
+    /// Returns the event that describes the ended request.
+    fn ended_event(&mut self, end: RequestEnd) -> RequestEnded {
         let job = &self.job;
         let record = &mut self.record;
-        let since = |at: Millis| at.since(record.came);
+        let since = |at: Millis| at.since(record.arrived);
         let view = self.app.shared.view.load();
         RequestEnded {
             request: job.id_text().into_owned(),
@@ -186,7 +188,7 @@
             able: holders(&self.app, &view, job).count(),
             passed_over: passed_over(&self.app, &view, job),
             bound: bound_record(&self.app, &view, job),
-            predicted_ms: record.predicted_ms.map(whole),
+            predicted_ms: record.predicted_ms.map(round_ms),
             configuration: job.catalog.version,
             listing: view.listing.version,
             sends: std::mem::take(&mut record.sends),
@@ -195,7 +197,8 @@
 }
 
 impl Drop for Exchange {
-    /// A request that is dropped before its end was left by its caller.
+    /// Logs that the caller left, if the exchange is dropped before the end of
+    /// the request was logged.
     fn drop(&mut self) {
         let may_have_run = !self.record.sends.is_empty();
         self.log_end(RequestEnd {
@@ -211,7 +214,7 @@
     }
 }
 
-/// Logs a request that was refused before a route took it.
+/// Logs a request that was refused before it was assigned to a route.
 pub(super) fn log_unrouted(id: Option<&[u8]>, refusal: &Refusal) {
     let id = String::from_utf8_lossy(id.unwrap_or_default());
     let event = Event::RequestEnded(Box::new(RequestEnded {
@@ -239,20 +242,22 @@
     event.log();
 }
 
-/// Returns what bound a request at its last decision, if anything did.
+/// Returns the region bound that applies to a request when it ends, and the
+/// bounds of its route and workspace; `None` if the request has no bound.
 fn bound_record(app: &App, view: &View, job: &Job) -> Option<BoundRecord> {
     let regions = |bound: &RegionBound| bound.regions().cloned();
-    let now = regions(&current_bound(view, job))?;
+    let current = regions(&current_bound(view, job))?;
     let workspace = job.workspace.as_ref().map(|one| &one.bound);
     Some(BoundRecord {
-        regions: now,
+        regions: current,
         of_route: regions(&job.route.bound),
         of_workspace: workspace.and_then(regions),
         able_elsewhere: holders_outside_bound(app, view, job),
     })
 }
 
+/// Rounds a time to whole milliseconds.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn whole(millis: f64) -> u64 {
+fn round_ms(millis: f64) -> u64 {
     millis.round() as u64
 }
--- a/crates/valehold-gateway/src/traffic/route.rs
+++ b/crates/valehold-gateway/src/traffic/route.rs
@@ -1,4 +1,5 @@
-//! What the configuration says of a request.
+//! Reads requests, and finds the route, service and workspace of each request
+//! in the catalog.
 
 use std::{borrow::Cow, cell::OnceCell, sync::Arc, time::Duration};
 
@@ -22,58 +23,62 @@
 use super::{refusal::Refusal, state::App};
 use crate::view::Life;
 
-/// How long after its start a gateway is expected to know the configuration.
-const STARTS_WITHIN: Duration = Duration::from_millis(800);
+/// The time after its start in which a gateway is expected to receive the
+/// catalog.
+const MAX_STARTUP_TIME: Duration = Duration::from_millis(800);
 
-/// In how many ms to come back to a gateway that knows no configuration.
-const NOT_READY_COME_BACK_MS: u64 = 500;
+/// The time after which to retry when the gateway has no catalog yet, in ms.
+const NOT_READY_RETRY_AFTER_MS: u64 = 500;
 
-/// How long a caller may be thought to wait if it does not say, in ms.
+/// The assumed deadline of a request that states none, in ms.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
-/// The most bytes that are read of the body of a request that is refused by
-/// its head.
-const MOST_UNWANTED_BYTES: usize = 1 << 20;
+/// The maximum number of body bytes that are read and discarded after a
+/// request was refused because of its head.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
-/// For how long they are read at the most.
-const UNWANTED_FOR: Duration = Duration::from_millis(200);
+/// The maximum time for which the body of such a request is read.
+const MAX_DISCARD_TIME: Duration = Duration::from_millis(200);
 
-/// How many ranks of routes are told apart within each rank of workspaces:
-/// engines know ten grades of urgency for both.
-const RANKS_OF_ROUTES: u8 = 3;
+/// The number of route ranks that are distinguished within each workspace
+/// rank. Engines have ten levels of urgency for both kinds of rank together.
+const ROUTE_RANKS: u8 = 3;
 
-/// A request that a route takes, read whole.
+/// A request that was read completely and assigned to a route.
 pub(super) struct Job {
-    /// Its head, as the caller sent it.
+    /// The head of the request, without the headers that only a gateway may
+    /// set.
     pub(super) head: Parts,
-    /// Its body.
+    /// The body of the request.
     pub(super) body: Bytes,
-    /// What it says of itself.
+    /// The properties that the request states in its headers.
     pub(super) request: CallerRequest,
-    /// The route that takes it.
+    /// The route of the request.
     pub(super) route: Route,
-    /// The service that answers it.
+    /// The service, chosen from the services of the route.
     pub(super) service_name: ServiceName,
-    /// The workspace whose key came with it; `None` where none is needed.
+    /// The workspace of the key that the request carries; `None` if there is
+    /// no such workspace and none is required.
     pub(super) workspace: Option<Workspace>,
-    /// The regions in which it may be served, by route and workspace.
+    /// The regions in which the request may be served: the intersection of the
+    /// bounds of the route and the workspace.
     pub(super) bound: RegionBound,
-    /// The configuration that says so.
+    /// The catalog in which the route, service and workspace were found.
     pub(super) catalog: Arc<Catalog>,
-    /// By when it gets its final answer.
+    /// The time by which the request must be answered or refused.
     pub(super) deadline: Millis,
     content: OnceCell<RequestContent>,
 }
 
 impl Job {
-    /// Returns the request's identifier, as the logs name it.
+    /// Returns the identifier of the request, as written to the log.
     pub(super) fn id_text(&self) -> Cow<'_, str> {
         let id = self.request.id.as_deref();
         String::from_utf8_lossy(id.unwrap_or_default())
     }
 
-    /// Returns the digest of what it asks for. It is worked out when it is
-    /// first wanted, which is never for most requests.
+    /// Returns the digest of the request's content. The digest is computed on
+    /// first use, because most requests never need the digest.
     pub(super) fn content(&self) -> RequestContent {
         *self.content.get_or_init(|| {
             let path = self.head.uri.path_and_query();
@@ -84,63 +89,68 @@
         })
     }
 
-    /// Returns which variant it asks for, inside its bound.
-    pub(super) fn asked(&self) -> Option<Asked> {
+    /// Returns the requested variant with the region bound of the request;
+    /// `None` if the request names no model.
+    pub(super) fn bound_variant(&self) -> Option<Asked> {
         let variant = self.request.variant.clone()?;
         Some(Asked { bound: self.bound.clone(), variant })
     }
 
-    /// Returns how urgent it is, 0 being the most: by the rank of its
-    /// workspace, and within that by that of its route.
+    /// Returns the urgency of the request, where 0 is the most urgent. The
+    /// urgency depends on the rank of the workspace first, and on the rank of
+    /// the route second.
     pub(super) fn urgency(&self) -> u8 {
-        let within = self.route.rank.min(RANKS_OF_ROUTES - 1);
-        let before = self.workspace.as_ref().map_or(0, |one| one.rank);
-        before.saturating_mul(RANKS_OF_ROUTES).saturating_add(within)
+        let route_rank = self.route.rank.min(ROUTE_RANKS - 1);
+        let workspace_rank = self.workspace.as_ref().map_or(0, |one| one.rank);
+        workspace_rank.saturating_mul(ROUTE_RANKS).saturating_add(route_rank)
     }
 
-    /// Returns what the service's upstreams bear while they are cold, if they
-    /// ever are.
+    /// Returns the limits for cold upstreams of the service; `None` if
+    /// upstreams of the service are never considered cold.
     pub(super) fn cold_spec(&self) -> Option<&ColdSpec> {
         self.catalog.services.get(&self.service_name)?.cold.as_ref()
     }
 
-    /// Returns what the service's engines can do, if it runs models.
+    /// Returns the specification of the service's engines; `None` if the
+    /// service runs no models.
     pub(super) fn engine_spec(&self) -> Option<&EngineSpec> {
         self.catalog.engine_spec(&self.service_name)
     }
 }
 
-/// Finds a request's route, and reads the request whole.
-pub(super) async fn find(
+/// Finds the route of a request and reads the body of the request.
+///
+/// If this fails, returns the identifier of the request and the refusal.
+pub(super) async fn accept(
     app: &App,
     request: Request<Incoming>,
 ) -> Result<Job, (Option<Bytes>, Refusal)> {
-    let began = app.now();
+    let arrived = app.now();
     let (mut head, body) = request.into_parts();
-    let said = app.dialect.read_request(&head.headers);
-    let id = said.id.clone();
+    let stated = app.dialect.read_request(&head.headers);
+    let id = stated.id.clone();
     remove_reserved(app, &mut head);
-    let Some(catalog) = catalog(app).await else {
+    let Some(catalog) = wait_for_catalog(app).await else {
         let reason = RefusalReason::NotReady;
-        return Err((id, Refusal::not_run(reason, NOT_READY_COME_BACK_MS)));
+        return Err((id, Refusal::not_run(reason, NOT_READY_RETRY_AFTER_MS)));
     };
-    let taken = take_route(&catalog, &head).and_then(|(route, service)| {
-        let workspace = workspace_of(&catalog, route, &said)?;
+    let found = find_route(&catalog, &head).and_then(|(route, service)| {
+        let workspace = workspace_of(&catalog, route, &stated)?;
         Ok((route.clone(), service.clone(), workspace.cloned()))
     });
-    let (route, service_name, workspace) = match taken {
-        Ok(taken) => taken,
+    let (route, service_name, workspace) = match found {
+        Ok(found) => found,
         Err(refusal) => {
-            leave_unread(body).await;
+            discard_body(body).await;
             return Err((id, refusal));
         }
     };
-    let deadline_ms = said.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
-    let held_ms = match route.longest_ms {
+    let deadline_ms = stated.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
+    let timeout_ms = match route.longest_ms {
         0 => deadline_ms,
         longest_ms => deadline_ms.min(longest_ms),
     };
-    let deadline = began + held_ms;
+    let deadline = arrived + timeout_ms;
     let limit = catalog.limits.body_bytes;
     let body = read_body(app, body, limit, deadline)
         .await
@@ -152,7 +162,7 @@
     Ok(Job {
         head,
         body,
-        request: said,
+        request: stated,
         route,
         service_name,
         workspace,
@@ -163,32 +173,34 @@
     })
 }
 
-/// Returns the configuration. A gateway that has just started waits for it a
-/// little: it comes within some hundred ms, and a request that is refused
-/// until then would come back later than that.
-async fn catalog(app: &App) -> Option<Arc<Catalog>> {
-    let known = || app.shared.view.load().catalog.clone();
-    if let Some(catalog) = known() {
+/// Returns the catalog. A gateway that has just started waits for the catalog
+/// until [`MAX_STARTUP_TIME`] after its start. The catalog arrives within a
+/// few hundred ms, while the caller of a refused request would retry later
+/// than that.
+async fn wait_for_catalog(app: &App) -> Option<Arc<Catalog>> {
+    let current = || app.shared.view.load().catalog.clone();
+    if let Some(catalog) = current() {
         return Some(catalog);
     }
     let age = Duration::from_millis(app.now().get());
-    let wait = STARTS_WITHIN.saturating_sub(age);
+    let wait = MAX_STARTUP_TIME.saturating_sub(age);
     let mut life = app.shared.watch_life();
     let serving = life.wait_for(|life| *life != Life::Starting);
-    // If it does not come in time the request is refused.
+    // On a timeout, the caller of this function refuses the request.
     let _ = tokio::time::timeout(wait, serving).await;
-    known()
+    current()
 }
 
-/// Removes headers that only a gateway may set, so that no upstream takes a
-/// caller's copy for the gateway's word.
+/// Removes headers that only a gateway may set, so that no upstream mistakes a
+/// header set by the caller for a header set by the gateway.
 fn remove_reserved(app: &App, head: &mut Parts) {
     for name in app.dialect.remove_reserved(&mut head.headers) {
         app.shared.metrics.reserved_header_removed(name.as_str());
     }
 }
 
-fn take_route<'a>(
+/// Finds the route of a request, and chooses one of the services of the route.
+fn find_route<'a>(
     catalog: &'a Catalog,
     head: &Parts,
 ) -> Result<(&'a Route, &'a ServiceName), Refusal> {
@@ -202,14 +214,15 @@
     Ok((route, name))
 }
 
-/// Returns the workspace whose key a request carries.
+/// Returns the workspace of the key that a request carries. Refuses the
+/// request if no workspace matches, unless the route is public.
 fn workspace_of<'a>(
     catalog: &'a Catalog,
     route: &Route,
-    said: &CallerRequest,
+    stated: &CallerRequest,
 ) -> Result<Option<&'a Workspace>, Refusal> {
     let Some(workspaces) = &catalog.workspaces else { return Ok(None) };
-    let found = said.key.as_ref().and_then(|key| workspaces.by_key(key));
+    let found = stated.key.as_ref().and_then(|key| workspaces.by_key(key));
     match found {
         None if !route.public => {
             Err(Refusal::not_run(RefusalReason::BadKey, 0))
@@ -218,15 +231,15 @@
     }
 }
 
-/// Takes the rest of a body that is not wanted: a connection that is closed
-/// before it is read is reset, and the answer may be lost with it.
-async fn leave_unread(body: Incoming) {
-    let reading = Limited::new(body, MOST_UNWANTED_BYTES).collect();
-    // Whatever comes of it, the request is answered.
-    let _ = tokio::time::timeout(UNWANTED_FOR, reading).await;
+/// Reads and discards the body of a refused request. Closing a connection with
+/// unread data resets the connection, and the refusal could be lost.
+async fn discard_body(body: Incoming) {
+    let reading = Limited::new(body, MAX_DISCARDED_BYTES).collect();
+    // The refusal is sent regardless of the result.
+    let _ = tokio::time::timeout(MAX_DISCARD_TIME, reading).await;
 }
 
-/// Returns the host that a request names, without its port.
+/// Returns the host that a request names, without the port.
 fn host(head: &Parts) -> Option<&str> {
     let named = head.headers.get(header::HOST);
     let named = named.and_then(|value| value.to_str().ok());
@@ -234,6 +247,8 @@
     Some(host.rsplit_once(':').map_or(host, |(host, _)| host))
 }
 
+/// Reads the body of a request. Refuses the request if the body exceeds
+/// `limit` or is not complete at the deadline.
 async fn read_body(
     app: &App,
     body: Incoming,
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -303,12 +303,12 @@
     pub(super) fn track_in_flight(
         &self,
         upstream: &UpstreamStart,
-        asked: Option<Asked>,
+        variant: Option<Asked>,
         prompt_tokens: u64,
     ) -> InFlightGuard {
-        if let Some(asked) = &asked {
+        if let Some(variant) = &variant {
             let mut running = self.shared.running();
-            *running.entry(asked.clone()).or_default() += 1;
+            *running.entry(variant.clone()).or_default() += 1;
         }
         let one = Load { running: 1, waiting_tokens: prompt_tokens };
         let mut loads = self.shared.loads();
@@ -317,7 +317,7 @@
         InFlightGuard {
             shared: self.shared.clone(),
             upstream: upstream.clone(),
-            asked,
+            variant,
             waiting_tokens: prompt_tokens,
         }
     }
@@ -327,7 +327,7 @@
 pub(super) struct InFlightGuard {
     shared: Arc<Shared>,
     upstream: UpstreamStart,
-    asked: Option<Asked>,
+    variant: Option<Asked>,
     /// The prompt tokens that the upstream has yet to prefill.
     waiting_tokens: u64,
 }
@@ -347,12 +347,12 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        if let Some(asked) = &self.asked {
+        if let Some(variant) = &self.variant {
             let mut running = self.shared.running();
-            let left = running.get(asked).map_or(0, |count| count - 1);
+            let left = running.get(variant).map_or(0, |count| count - 1);
             match left {
-                0 => running.remove(asked),
-                left => running.insert(asked.clone(), left),
+                0 => running.remove(variant),
+                left => running.insert(variant.clone(), left),
             };
         }
         let mut loads = self.shared.loads();
