--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -50,7 +50,8 @@
 }
 
 /// Returns the number of upstreams outside a request's region bound that hold
-/// the requested model, or that serve the service if it runs no models.
+/// the requested model and are not leaving. For a plain service, counts all
+/// such upstreams of the service.
 pub(in super::super) fn holders_outside_bound(
     app: &App,
     view: &View,
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -1,12 +1,12 @@
 //! Processes a routed request until an answer or a refusal is available.
 //!
 //! `waiting` chooses the upstream for each send, `beginning` sends the request
-//! and receives the beginning of the answer, and `giving_up` creates the
+//! and receives the beginning of the answer, and `refusals` creates the
 //! refusal if no upstream answers. `work` reports the estimated work of the
 //! request to the control thread.
 
 mod beginning;
-mod giving_up;
+mod refusals;
 mod waiting;
 mod work;
 
--- a/crates/valehold-gateway/src/traffic/exchange/waiting.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/waiting.rs
@@ -17,7 +17,7 @@
         refusal::Refusal,
     },
     Exchange,
-    giving_up::NO_UPSTREAM_RETRY_AFTER_MS,
+    refusals::NO_UPSTREAM_RETRY_AFTER_MS,
 };
 
 /// The interval at which a waiting request tries again to choose an upstream.
@@ -126,8 +126,8 @@
                 | NoChoice::AllBackingOff { .. } => {}
                 NoChoice::NoUpstream if self.tried.is_empty() => {}
                 NoChoice::NoUpstream => {
-                    // Another engine may have to load the model in place of
-                    // the failed ones, which the lease holder decides.
+                    // The lease holder, which receives the load request,
+                    // deals with the upstreams that failed.
                     self.request_load(0);
                     return Err(self.refuse_as_failed(None));
                 }
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -43,7 +43,7 @@
 pub struct App {
     /// The state shared with the control thread.
     pub shared: Arc<Shared>,
-    /// The format of the headers of requests and answers.
+    /// The wire format of requests and answers.
     pub dialect: Arc<dyn Dialect>,
     pub(super) pool: Pool,
     pub(super) pending_break_offs: PendingBreakOffs,
