--- a/crates/valehold-gateway/src/traffic/route.rs
+++ b/crates/valehold-gateway/src/traffic/route.rs
@@ -146,11 +146,11 @@
         }
     };
     let deadline_ms = stated.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
-    let timeout_ms = match route.longest_ms {
+    let max_duration_ms = match route.longest_ms {
         0 => deadline_ms,
         longest_ms => deadline_ms.min(longest_ms),
     };
-    let deadline = arrived + timeout_ms;
+    let deadline = arrived + max_duration_ms;
     let limit = catalog.limits.body_bytes;
     let body = read_body(app, body, limit, deadline)
         .await
