--- a/crates/valehold-gateway/src/control/needs.rs
+++ b/crates/valehold-gateway/src/control/needs.rs
@@ -1,4 +1,4 @@
-//! What the demand that all gateways hear asks of each model.
+//! The needs of each model, derived from the demand at all gateways.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,14 @@
 
 use crate::peers::{message::VariantDemand, roster::sums::DemandSum};
 
-/// For how long a request keeps its adapter in use, in s.
+/// How long a request keeps its adapter in use, in s.
 const ADAPTER_USE_S: f64 = 2.0;
 
-/// Returns what each model needs, everywhere and inside the bounds in which
-/// it is used.
-pub(super) fn needs(demand: &DemandSum, used: &BoundUse) -> Needs {
+/// Returns the needs of each model, in total and inside each region bound in
+/// which the model is used.
+pub(super) fn needs(demand: &DemandSum, usage: &BoundUse) -> Needs {
     let everywhere = needs_within(demand, &RegionBound::Anywhere);
-    let bounds = used.bounds().map(|(bound, models)| {
+    let bounds = usage.bounds().map(|(bound, models)| {
         let all = needs_within(demand, bound);
         let need = |model: &ModelName| all.get(model).copied();
         let needs = models
@@ -32,36 +32,38 @@
     Needs { everywhere, bounds: bounds.collect() }
 }
 
-/// Returns what the demand asks of each model that can be served inside a
-/// bound only.
+/// Returns the needs of each model that result from the demand that has to be
+/// served inside a bound.
 fn needs_within(demand: &DemandSum, bound: &RegionBound) -> ModelNeeds {
-    let inside = demand.iter().filter(|(of, _)| of.is_within(bound));
+    let matching = demand
+        .iter()
+        .filter(|(request_bound, _)| request_bound.is_within(bound));
     let mut needs = ModelNeeds::new();
-    for (variant, one) in inside.flat_map(|(_, variants)| variants) {
+    for (variant, demand) in matching.flat_map(|(_, variants)| variants) {
         let need = needs.entry(variant.model.clone()).or_default();
-        need.busy += f64::from(one.busy);
+        need.busy += f64::from(demand.busy);
         if variant.adapter.is_some() {
-            need.adapters += expected_in_use(one);
+            need.adapters += probability_in_use(demand);
         }
     }
     needs
 }
 
-/// Adds to each model's need for how long it has been lost.
-pub(super) fn note_lost(
+/// Adds to each missing model's need how long the model has been missing.
+pub(super) fn add_missing_durations(
     needs: &mut ModelNeeds,
-    lost: &BTreeMap<ModelName, Millis>,
+    missing: &BTreeMap<ModelName, Millis>,
     now: Millis,
 ) {
-    for (model, since) in lost {
+    for (model, since) in missing {
         let need = needs.entry(model.clone()).or_default();
         need.lost_ms = now.since(*since);
     }
 }
 
-/// Adds to each model's need how busy it was lately, given how many of the
-/// engines there hold it.
-pub(super) fn note_peaks(
+/// Adds to each model's need its recent peak demand, given the number of
+/// replicas of the model.
+pub(super) fn add_peak_demand(
     peaks: &mut Peaks,
     needs: &mut ModelNeeds,
     replicas: BTreeMap<ModelName, usize>,
@@ -75,8 +77,12 @@
     }
 }
 
-/// Returns the chance that an adapter is in use at a moment.
-fn expected_in_use(demand: &VariantDemand) -> f64 {
+/// Returns the probability that an adapter is in use at a given moment.
+///
+/// Arrivals are treated as a Poisson process: an adapter without running
+/// requests is in use if a request arrived within the last
+/// [`ADAPTER_USE_S`].
+fn probability_in_use(demand: &VariantDemand) -> f64 {
     let requests = f64::from(demand.requests);
     match demand.running {
         0 => 1.0 - (-requests * ADAPTER_USE_S).exp(),
--- a/crates/valehold-gateway/src/control/placer/adapters.rs
+++ b/crates/valehold-gateway/src/control/placer/adapters.rs
@@ -1,7 +1,7 @@
-//! Bringing adapters to engines that hold their models.
+//! Placement of adapters on engines that hold their models.
 //!
-//! What is done for an adapter costs as much as engines hold its model,
-//! whatever other engines there are.
+//! The cost of placing an adapter grows with the number of engines that hold
+//! its model, not with the number of all engines.
 
 use std::collections::BTreeMap;
 
@@ -19,163 +19,178 @@
 use valehold_ports::port::fleet::OrderWish;
 
 use super::Placer;
-use crate::{control::entry::Entry, peers::roster::sums::DemandSum};
+use crate::{control::entry::EngineEntry, peers::roster::sums::DemandSum};
 
-/// How many orders about adapters are under way at once while places are
-/// filled.
-const MOST_BROUGHT_AT_ONCE: usize = 3;
+/// The number of pending adapter loads at which no further adapters are
+/// preloaded.
+const MAX_PENDING_ADAPTER_LOADS: usize = 3;
 
-/// How long a wish stays without being repeated, in ms.
-const KEEP_WISH_MS: u64 = 1_000;
+/// How long a load request is kept after it was last made, in ms.
+const REQUEST_LIFETIME_MS: u64 = 1_000;
 
-/// How often a way is looked for to do what a request wishes, in ms: until an
-/// order has ended or demand has changed there is no other.
-const TRY_WISH_EVERY_MS: u64 = 50;
+/// The minimum interval between two attempts to place the adapter of one load
+/// request, in ms. An earlier attempt has the same result unless an order has
+/// ended or demand has changed in between.
+const REQUEST_RETRY_INTERVAL_MS: u64 = 50;
 
-/// How often adapters are looked for that no engine holds, in ms. What a
-/// request asks for does not wait for that.
-const LOOK_EVERY_MS: u64 = 1_000;
+/// The minimum interval between the starts of two scans for adapters that no
+/// engine holds, in ms. Load requests are served independently of the scans.
+const PRELOAD_SCAN_INTERVAL_MS: u64 = 1_000;
 
-/// A request's wish for a variant.
+/// A load request: requests of callers wait for a variant that has to be
+/// loaded.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Wish {
-    /// When it was made last.
-    pub(super) repeated: Millis,
-    /// When a way was looked for last.
-    tried: Option<Millis>,
+pub(super) struct LoadRequest {
+    /// When the load request was last made.
+    pub(super) last_made: Millis,
+    /// When placing the variant was last attempted.
+    last_tried: Option<Millis>,
 }
 
-impl Wish {
-    /// Tells whether a way is to be looked for, and notes that one is.
+impl LoadRequest {
+    /// Returns whether another attempt to place the variant is due, and if so
+    /// records the attempt.
     fn is_due(&mut self, now: Millis) -> bool {
-        let is_due =
-            self.tried.is_none_or(|at| now.since(at) >= TRY_WISH_EVERY_MS);
+        let is_due = self
+            .last_tried
+            .is_none_or(|at| now.since(at) >= REQUEST_RETRY_INTERVAL_MS);
         if is_due {
-            self.tried = Some(now);
+            self.last_tried = Some(now);
         }
         is_due
     }
 }
 
-/// How far a look for adapters that no engine holds has come.
+/// The progress of a scan for adapters that no engine holds.
 #[derive(Debug, Default)]
-pub(super) struct Bringing {
-    /// The models that are still to be looked at, those last that are asked
-    /// for the most.
-    left: Vec<ModelName>,
-    /// When it began.
-    begun: Option<Millis>,
+pub(super) struct PreloadScan {
+    /// The models that are still to be scanned, in ascending order of their
+    /// request rates: the scan takes models from the end.
+    remaining: Vec<ModelName>,
+    /// When the scan started.
+    started_at: Option<Millis>,
 }
 
-impl Bringing {
-    /// Begins anew, if all models were looked at and it is time again.
-    fn begin_if_due(
+impl PreloadScan {
+    /// Starts the next scan if the last one has ended and its interval has
+    /// passed.
+    fn start_if_due(
         &mut self,
         spec: &EngineSpec,
         demand: &DemandSum,
         now: Millis,
     ) {
-        let is_young =
-            self.begun.is_some_and(|at| now.since(at) < LOOK_EVERY_MS);
-        if is_young || !self.left.is_empty() {
+        let is_recent = self
+            .started_at
+            .is_some_and(|at| now.since(at) < PRELOAD_SCAN_INTERVAL_MS);
+        if is_recent || !self.remaining.is_empty() {
             return;
         }
-        self.begun = Some(now);
-        let mut asked: BTreeMap<&ModelName, f64> = BTreeMap::new();
-        for (variant, one) in demand.values().flatten() {
-            let requests = asked.entry(&variant.model).or_default();
-            *requests += f64::from(one.requests);
+        self.started_at = Some(now);
+        let mut request_rates: BTreeMap<&ModelName, f64> = BTreeMap::new();
+        for (variant, variant_demand) in demand.values().flatten() {
+            let requests = request_rates.entry(&variant.model).or_default();
+            *requests += f64::from(variant_demand.requests);
         }
-        let requests =
-            |model: &ModelName| asked.get(model).copied().unwrap_or(0.0);
+        let requests = |model: &ModelName| {
+            request_rates.get(model).copied().unwrap_or(0.0)
+        };
         let models = spec.models.iter().filter(|m| !m.adapters.is_empty());
-        self.left = models.map(|model| model.name.clone()).collect();
-        self.left.sort_by(|a, b| requests(a).total_cmp(&requests(b)));
+        self.remaining = models.map(|model| model.name.clone()).collect();
+        self.remaining.sort_by(|a, b| requests(a).total_cmp(&requests(b)));
     }
 }
 
 impl Placer {
-    pub(super) fn place_adapters(
+    /// Attempts to place the adapters of all load requests for which an
+    /// attempt is due.
+    pub(super) fn place_requested_adapters(
         &mut self,
         now: Millis,
         service: &ServiceName,
         spec: &EngineSpec,
         demand: &DemandSum,
     ) {
-        self.wishes.retain(|_, one| now.since(one.repeated) < KEEP_WISH_MS);
-        let due = self.wishes.iter_mut().filter(|(asked, _)| {
-            asked.variant.adapter.is_some()
-                && spec.model(&asked.variant.model).is_some()
-                && !self.ordered_now.contains(&asked.variant)
+        self.load_requests.retain(|_, request| {
+            now.since(request.last_made) < REQUEST_LIFETIME_MS
+        });
+        let due = self.load_requests.iter_mut().filter(|(requested, _)| {
+            requested.variant.adapter.is_some()
+                && spec.model(&requested.variant.model).is_some()
+                && !self.pending_adapter_orders.contains(&requested.variant)
         });
-        let due = due.filter_map(|(asked, wish)| {
-            wish.is_due(now).then(|| asked.clone())
+        let due = due.filter_map(|(requested, request)| {
+            request.is_due(now).then(|| requested.clone())
         });
         let due: Vec<Asked> = due.collect();
-        for asked in due {
-            self.place_adapter(now, service, spec, demand, &asked);
+        for requested in due {
+            self.place_requested_adapter(
+                now, service, spec, demand, &requested,
+            );
         }
     }
 
-    fn place_adapter(
+    /// Loads the adapter of a load request, or unloads another adapter to make
+    /// room. Removes the load request if the adapter is already served.
+    fn place_requested_adapter(
         &mut self,
         now: Millis,
         service: &ServiceName,
         spec: &EngineSpec,
         demand: &DemandSum,
-        asked: &Asked,
+        requested: &Asked,
     ) {
-        let Asked { bound, variant } = asked;
-        if self.is_there(service, bound, variant) {
-            self.wishes.remove(asked);
+        let Asked { bound, variant } = requested;
+        if self.is_served(service, bound, variant) {
+            self.load_requests.remove(requested);
             return;
         }
         let hosts = self.hosts(now, service, bound, &variant.model);
-        let use_of = |variant: &Variant| use_of(demand, variant);
-        match place_adapter(variant, &hosts, spec, use_of) {
+        let usage_of = |variant: &Variant| usage_of(demand, variant);
+        match place_adapter(variant, &hosts, spec, usage_of) {
             Some(AdapterStep::Load(engine)) => {
-                self.ordered_now.insert(variant.clone());
-                let wish = OrderWish::Load(variant.clone());
-                self.order(&engine, wish, now);
+                self.pending_adapter_orders.insert(variant.clone());
+                let action = OrderWish::Load(variant.clone());
+                self.send_order(&engine, action, now);
             }
             Some(AdapterStep::MakeRoom { engine, victim }) => {
-                self.order(&engine, OrderWish::Unload(victim), now);
+                self.send_order(&engine, OrderWish::Unload(victim), now);
             }
             None => {}
         }
     }
 
-    /// Fills free places with adapters that no engine holds, so that they
-    /// are there when they are asked for.
-    pub(super) fn bring_adapters(
+    /// Preloads adapters that no engine holds into free places, so that later
+    /// requests for them need not wait for a load.
+    pub(super) fn preload_adapters(
         &mut self,
         now: Millis,
         service: &ServiceName,
         spec: &EngineSpec,
         demand: &DemandSum,
     ) {
-        if self.ordered_now.len() >= MOST_BROUGHT_AT_ONCE {
+        if self.pending_adapter_orders.len() >= MAX_PENDING_ADAPTER_LOADS {
             return;
         }
-        let mut bringing = self.bringing.remove(service).unwrap_or_default();
-        bringing.begin_if_due(spec, demand, now);
-        while self.ordered_now.len() < MOST_BROUGHT_AT_ONCE
-            && let Some(model) = bringing.left.last()
+        let mut scan = self.preload_scans.remove(service).unwrap_or_default();
+        scan.start_if_due(spec, demand, now);
+        while self.pending_adapter_orders.len() < MAX_PENDING_ADAPTER_LOADS
+            && let Some(model) = scan.remaining.last()
         {
             let model = spec.model(model);
-            let brought = model.is_some_and(|model| {
-                self.bring_one_of(now, service, spec, model)
+            let was_ordered = model.is_some_and(|model| {
+                self.preload_one_adapter(now, service, spec, model)
             });
-            if !brought {
-                bringing.left.pop();
+            if !was_ordered {
+                scan.remaining.pop();
             }
         }
-        self.bringing.insert(service.clone(), bringing);
+        self.preload_scans.insert(service.clone(), scan);
     }
 
-    /// Brings one of a model's adapters that no engine holds; tells whether
-    /// there was one, and an engine with room for it.
-    fn bring_one_of(
+    /// Loads one of a model's adapters that no engine holds. Returns `false`
+    /// if there is no such adapter or no engine with room for one.
+    fn preload_one_adapter(
         &mut self,
         now: Millis,
         service: &ServiceName,
@@ -188,8 +203,8 @@
             adapter: Some(adapter.clone()),
         });
         let mut missing = variants.filter(|variant| {
-            !self.ordered_now.contains(variant)
-                && !self.is_there(service, &anywhere, variant)
+            !self.pending_adapter_orders.contains(variant)
+                && !self.is_served(service, &anywhere, variant)
         });
         let Some(variant) = missing.next() else { return false };
         let hosts = self.hosts(now, service, &anywhere, &model.name);
@@ -197,26 +212,25 @@
             return false;
         };
         let engine = engine.clone();
-        self.ordered_now.insert(variant.clone());
-        self.order(&engine, OrderWish::Load(variant), now);
+        self.pending_adapter_orders.insert(variant.clone());
+        self.send_order(&engine, OrderWish::Load(variant), now);
         true
     }
 
-    /// Tells whether a sound engine inside a bound takes requests for a
-    /// variant.
-    fn is_there(
+    /// Returns whether an available engine inside a bound accepts requests for
+    /// a variant.
+    fn is_served(
         &self,
         service: &ServiceName,
         bound: &RegionBound,
         variant: &Variant,
     ) -> bool {
         let mut holders = self.holders_of(service, bound, &variant.model);
-        holders.any(|(_, entry)| entry.is_sound() && entry.serves(variant))
+        holders.any(|(_, entry)| entry.is_available() && entry.serves(variant))
     }
 
-    /// Returns the engines inside a bound that hold a model and take an order
-    /// about an adapter now: one that carries an order about a model out does
-    /// not.
+    /// Returns the engines inside a bound that hold a model and can get an
+    /// order for an adapter now. Engines that execute a model order cannot.
     fn hosts(
         &self,
         now: Millis,
@@ -226,11 +240,13 @@
     ) -> Vec<AdapterHost<'_>> {
         let holders = self.holders_of(service, bound, model);
         holders
-            .filter(|(_, entry)| entry.may_order(now) && !entry.busy)
+            .filter(|(_, entry)| {
+                entry.may_order(now) && !entry.executing_model_order
+            })
             .map(|(id, entry)| AdapterHost {
                 engine: id,
                 holding: &entry.holding,
-                young: &entry.arrivals,
+                young: &entry.recent_adapters,
             })
             .collect()
     }
@@ -241,10 +257,10 @@
         service: &ServiceName,
         bound: &RegionBound,
         model: &ModelName,
-    ) -> impl Iterator<Item = (&UpstreamId, &Entry)> {
-        let found = self.holders.of(model);
-        let found = found.filter_map(|id| self.entries.get_key_value(id));
-        found.filter(move |(_, entry)| {
+    ) -> impl Iterator<Item = (&UpstreamId, &EngineEntry)> {
+        let engines = self.holders.engines_with(model);
+        let engines = engines.filter_map(|id| self.entries.get_key_value(id));
+        engines.filter(move |(_, entry)| {
             entry.service == *service
                 && entry.holding.models.contains_key(model)
                 && self.is_inside(bound, entry)
@@ -252,11 +268,14 @@
     }
 }
 
-fn use_of(demand: &DemandSum, variant: &Variant) -> AdapterUse {
-    let mut used = AdapterUse::default();
-    for one in demand.values().filter_map(|variants| variants.get(variant)) {
-        used.requests += f64::from(one.requests);
-        used.runs |= one.running > 0;
+/// Returns the usage of a variant, over all bounds.
+fn usage_of(demand: &DemandSum, variant: &Variant) -> AdapterUse {
+    let mut usage = AdapterUse::default();
+    for variant_demand in
+        demand.values().filter_map(|variants| variants.get(variant))
+    {
+        usage.requests += f64::from(variant_demand.requests);
+        usage.runs |= variant_demand.running > 0;
     }
-    used
+    usage
 }
