--- a/crates/valehold-core/src/fleet/cold/mod.rs
+++ b/crates/valehold-core/src/fleet/cold/mod.rs
@@ -55,7 +55,7 @@
     /// Returns how many requests a cold upstream may get in any one second.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn max_per_second(&self, spec: &ColdSpec) -> usize {
-        let max = spec.bears_per_second * self.overshoot + self.slack;
+        let max = spec.requests_per_second * self.overshoot + self.slack;
         max.max(0.0) as usize
     }
 
@@ -69,7 +69,7 @@
     pub fn permits_per_window(&self, spec: &ColdSpec) -> usize {
         let share = self.max_per_second(spec) as f64 / MAX_CONCURRENT_GRANTORS;
         let window_s = (1_000 + PERMIT_LIFETIME_MS) as f64 / 1_000.0;
-        let rated = spec.bears_per_second * window_s;
+        let rated = spec.requests_per_second * window_s;
         share.min(rated) as usize
     }
 }
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -56,7 +56,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EvacuationState, UpstreamRegistry,
+        BoundVariant, Catalog, EvacuationState, UpstreamRegistry,
         cold::PermitGrantor, lapsed::StoreAvailability,
     },
     id::{DataCentreId, InstanceId},
@@ -490,7 +490,7 @@
         }
     }
 
-    fn wish(&mut self, asked: Asked) {
+    fn wish(&mut self, asked: BoundVariant) {
         let now = self.now();
         if self.lease.borrow().held_epoch(now).is_some() {
             self.placer.on_load_request(asked, now);
--- a/crates/valehold-gateway/src/control/needs.rs
+++ b/crates/valehold-gateway/src/control/needs.rs
@@ -6,8 +6,8 @@
     Millis,
     fleet::{
         RegionBound,
-        asked::BoundUse,
-        peaks::Peaks,
+        bound_usage::BoundUsage,
+        peak_demand::PeakDemand,
         replicas::{ModelNeeds, Needs},
     },
     id::ModelName,
@@ -20,7 +20,7 @@
 
 /// Returns the needs of each model, in total and inside each region bound in
 /// which the model is used.
-pub(super) fn needs(demand: &DemandSum, usage: &BoundUse) -> Needs {
+pub(super) fn needs(demand: &DemandSum, usage: &BoundUsage) -> Needs {
     let everywhere = needs_within(demand, &RegionBound::Anywhere);
     let bounds = usage.bounds().map(|(bound, models)| {
         let all = needs_within(demand, bound);
@@ -41,9 +41,9 @@
     let mut needs = ModelNeeds::new();
     for (variant, demand) in matching.flat_map(|(_, variants)| variants) {
         let need = needs.entry(variant.model.clone()).or_default();
-        need.busy += f64::from(demand.busy);
+        need.busy_engines += f64::from(demand.busy);
         if variant.adapter.is_some() {
-            need.adapters += probability_in_use(demand);
+            need.adapters_in_use += probability_in_use(demand);
         }
     }
     needs
@@ -57,23 +57,24 @@
 ) {
     for (model, since) in missing {
         let need = needs.entry(model.clone()).or_default();
-        need.lost_ms = now.since(*since);
+        need.missing_ms = now.since(*since);
     }
 }
 
 /// Adds to each model's need its recent peak demand, given the number of
 /// replicas of the model.
 pub(super) fn add_peak_demand(
-    peaks: &mut Peaks,
+    peaks: &mut PeakDemand,
     needs: &mut ModelNeeds,
     replicas: BTreeMap<ModelName, usize>,
     now: Millis,
 ) {
-    let busy = needs.iter().map(|(model, need)| (model.clone(), need.busy));
-    peaks.follow(&busy.collect(), &replicas, now);
+    let busy =
+        needs.iter().map(|(model, need)| (model.clone(), need.busy_engines));
+    peaks.update(&busy.collect(), &replicas, now);
     for model in replicas.into_keys() {
         let need = needs.entry(model.clone()).or_default();
-        need.lately = peaks.of(&model);
+        need.recent_busy_engines = peaks.get(&model);
     }
 }
 
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -28,12 +28,12 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EngineHolding, EvacuationState, Listing, RegionBound,
-        Upstream, UpstreamRegistry, UpstreamStart, Variant,
-        asked::BoundUse,
+        BoundVariant, Catalog, EngineHolding, EvacuationState, Listing,
+        RegionBound, Upstream, UpstreamRegistry, UpstreamStart, Variant,
         backoff::UpstreamBackoffs,
+        bound_usage::BoundUsage,
         catalog::EngineSpec,
-        peaks::Peaks,
+        peak_demand::PeakDemand,
         topology::Topology,
         upstream_limit::UpstreamLimits,
         weight_loads::{InheritedLoads, LostLoads, WeightLoads},
@@ -110,14 +110,14 @@
     polls_in_flight: usize,
     /// Data centres that operators evacuate.
     evacuated: BTreeSet<DataCentreId>,
-    load_requests: BTreeMap<Asked, LoadRequest>,
+    load_requests: BTreeMap<BoundVariant, LoadRequest>,
     preload_scans: BTreeMap<ServiceName, PreloadScan>,
     /// The models of each service that no available engine serves, or no
     /// available engine inside a bound in which the model is used, and since
     /// when.
     missing: BTreeMap<ServiceName, MissingModels>,
     /// The models that are used inside each bound.
-    bound_usage: BoundUse,
+    bound_usage: BoundUsage,
     /// Adapters with a load order in flight.
     pending_adapter_orders: BTreeSet<Variant>,
     /// When models were last planned.
@@ -128,7 +128,7 @@
     loads_exhausted: bool,
     /// The index of the service that is planned first in the next plan.
     next_service_index: usize,
-    peaks: BTreeMap<ServiceName, BTreeMap<RegionBound, Peaks>>,
+    peaks: BTreeMap<ServiceName, BTreeMap<RegionBound, PeakDemand>>,
     topology: Topology,
     load_window_s: f64,
     mechanisms: MechanismSettings,
@@ -162,7 +162,7 @@
             loads_exhausted: false,
             next_service_index: 0,
             peaks: BTreeMap::new(),
-            bound_usage: BoundUse::default(),
+            bound_usage: BoundUsage::default(),
             topology,
             load_window_s,
             mechanisms,
@@ -213,9 +213,13 @@
 
     /// Handles a load request: a request of a caller waits for a variant
     /// inside a bound.
-    pub(super) fn on_load_request(&mut self, requested: Asked, now: Millis) {
-        let Asked { bound, variant } = &requested;
-        self.bound_usage.note(bound, &variant.model, now);
+    pub(super) fn on_load_request(
+        &mut self,
+        requested: BoundVariant,
+        now: Millis,
+    ) {
+        let BoundVariant { bound, variant } = &requested;
+        self.bound_usage.record(bound, &variant.model, now);
         let topology = &self.topology;
         // A load request for a variant that an engine already serves means
         // that the requesting gateway has missed the advertisement.
@@ -365,10 +369,10 @@
     fn record_bound_usage(&mut self, demand: &DemandSum, now: Millis) {
         for (bound, variants) in demand {
             for variant in variants.keys() {
-                self.bound_usage.note(bound, &variant.model, now);
+                self.bound_usage.record(bound, &variant.model, now);
             }
         }
-        self.bound_usage.pass(now);
+        self.bound_usage.prune(now);
     }
 
     /// Returns whether an engine is inside a bound.
--- a/crates/valehold-gateway/src/control/placer/models.rs
+++ b/crates/valehold-gateway/src/control/placer/models.rs
@@ -122,16 +122,17 @@
                 data_centre: entry.data_centre.clone(),
                 holding: entry.usable_holding(),
                 loading: entry.loading.clone(),
-                busy: entry.executing_model_order || !entry.may_order(now),
-                sound: entry.is_available(),
+                has_pending_order: entry.executing_model_order
+                    || !entry.may_order(now),
+                is_available: entry.is_available(),
                 copies: match self.mechanisms.copies_first {
                     true => entry.copies.clone(),
                     false => BTreeSet::new(),
                 },
-                is_counted: self
+                has_counted_load: self
                     .weight_loads
                     .is_counted(&entry.next_position()),
-                load: running_requests(loads, &entry.start),
+                running_requests: running_requests(loads, &entry.start),
             })
             .collect();
         let needs = self.needs(now, service, demand, &states);
@@ -139,8 +140,9 @@
             log_needs(&needs.everywhere, &states);
         }
         let topology = Some(&self.topology);
-        let steps =
-            replicas::plan_by_place(spec, &needs, &states, topology, allowed);
+        let steps = replicas::plan_with_bounds(
+            spec, &needs, &states, topology, allowed,
+        );
         for step in steps {
             match step {
                 ReplicaStep::Load { engine, model, source } => {
@@ -247,10 +249,10 @@
     for (model, need) in needs {
         let holds = |e: &&EngineState| e.holding.models.contains_key(model);
         let replicas = engines.iter().filter(holds).count();
-        let ModelNeed { busy, adapters, .. } = need;
+        let ModelNeed { busy_engines, adapters_in_use, .. } = need;
         log::debug!(
-            "model {model}: {busy:.2} busy engines, \
-             {adapters:.1} adapters in use, {replicas} replicas"
+            "model {model}: {busy_engines:.2} busy engines, \
+             {adapters_in_use:.1} adapters in use, {replicas} replicas"
         );
     }
 }
--- a/crates/valehold-gateway/src/traffic/choose/eligible.rs
+++ b/crates/valehold-gateway/src/traffic/choose/eligible.rs
@@ -46,7 +46,7 @@
     let workspace = job.workspace.as_ref().map(|one| &one.name);
     let path = job.head.uri.path();
     let bound = current.bound_of(&job.route.host, path, workspace);
-    Cow::Owned(job.bound.and(&bound))
+    Cow::Owned(job.bound.intersection(&bound))
 }
 
 /// Returns the number of upstreams outside a request's region bound that hold
@@ -273,7 +273,7 @@
         let limit = limit.map(RequestRate::per_second);
         let cold =
             cold.filter(|_| permits.estimate.is_cold(&upstream.id, now));
-        let cold_rate = cold.map(|cold| cold.bears_per_second);
+        let cold_rate = cold.map(|cold| cold.requests_per_second);
         let per_second =
             [limit, cold_rate].into_iter().flatten().reduce(f64::min);
         let no_choice =
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -214,7 +214,7 @@
         let objective = Duration::from_millis(self.job.route.begin_within_ms);
         match self.job.route.repetition {
             Repetition::Resumable => objective * RESUMABLE_BEGIN_FACTOR,
-            Repetition::Safe | Repetition::Once => objective,
+            Repetition::Idempotent | Repetition::AtMostOnce => objective,
         }
     }
 
@@ -250,7 +250,7 @@
         let job = &self.job;
         let mut tried = self.tried.clone();
         tried.push(upstream.clone());
-        job.route.repetition.is_allowed()
+        job.route.repetition.allows_resend()
             && self.sends + 1 < job.route.attempts
             && self.left() > MIN_TIME_LEFT
             && self.app.has_retry_left(&job.service_name)
@@ -270,7 +270,7 @@
             true => h.record_failure(now),
             false => h.record_success(now),
         });
-        let repeatable = self.job.route.repetition.is_allowed();
+        let repeatable = self.job.route.repetition.allows_resend();
         if failed && self.can_switch_from(&upstream.id) {
             return Err(SendFailure {
                 reason: RetryReason::RepeatableCall,
@@ -360,7 +360,7 @@
     fn may_retry(&self, verdict: Verdict) -> bool {
         let job = &self.job;
         let allowed =
-            verdict == Verdict::NotRun || job.route.repetition.is_allowed();
+            verdict == Verdict::NotRun || job.route.repetition.allows_resend();
         let has_time = self.left() > MIN_TIME_LEFT;
         allowed && self.sends < job.route.attempts && has_time
     }
--- a/crates/valehold-gateway/src/traffic/exchange/waiting.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/waiting.rs
@@ -4,7 +4,7 @@
 
 use valehold_core::{
     Millis,
-    fleet::{Asked, Variant, cold::SendPermit},
+    fleet::{BoundVariant, Variant, cold::SendPermit},
     reason::RefusalReason,
 };
 
@@ -186,6 +186,6 @@
         let Some(variant) = self.job.bound_variant() else { return };
         let view = self.app.shared.view.load();
         let bound = current_bound(&view, &self.job).into_owned();
-        self.app.shared.wish(&Asked { bound, ..variant });
+        self.app.shared.wish(&BoundVariant { bound, ..variant });
     }
 }
--- a/crates/valehold-gateway/src/traffic/route.rs
+++ b/crates/valehold-gateway/src/traffic/route.rs
@@ -10,7 +10,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, RegionBound, Route,
+        BoundVariant, Catalog, RegionBound, Route,
         catalog::{ColdSpec, EngineSpec},
         crashes::RequestContent,
         workspace::Workspace,
@@ -91,9 +91,9 @@
 
     /// Returns the requested variant with the region bound of the request;
     /// `None` if the request names no model.
-    pub(super) fn bound_variant(&self) -> Option<Asked> {
+    pub(super) fn bound_variant(&self) -> Option<BoundVariant> {
         let variant = self.request.variant.clone()?;
-        Some(Asked { bound: self.bound.clone(), variant })
+        Some(BoundVariant { bound: self.bound.clone(), variant })
     }
 
     /// Returns the urgency of the request, where 0 is the most urgent. The
@@ -146,17 +146,17 @@
         }
     };
     let deadline_ms = stated.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
-    let max_duration_ms = match route.longest_ms {
+    let allowed_ms = match route.max_duration_ms {
         0 => deadline_ms,
-        longest_ms => deadline_ms.min(longest_ms),
+        max_duration_ms => deadline_ms.min(max_duration_ms),
     };
-    let deadline = arrived + max_duration_ms;
-    let limit = catalog.limits.body_bytes;
+    let deadline = arrived + allowed_ms;
+    let limit = catalog.limits.body_limit_bytes;
     let body = read_body(app, body, limit, deadline)
         .await
         .map_err(|refusal| (id, refusal))?;
     let bound = match &workspace {
-        Some(workspace) => route.bound.and(&workspace.bound),
+        Some(workspace) => route.bound.intersection(&workspace.bound),
         None => route.bound.clone(),
     };
     Ok(Job {
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -10,7 +10,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, UpstreamStart, Variant,
+        BoundVariant, UpstreamStart, Variant,
         health::Health,
         pace::Pace,
         paces::{LogRatio, PaceObservation},
@@ -303,7 +303,7 @@
     pub(super) fn track_in_flight(
         &self,
         upstream: &UpstreamStart,
-        variant: Option<Asked>,
+        variant: Option<BoundVariant>,
         prompt_tokens: u64,
     ) -> InFlightGuard {
         if let Some(variant) = &variant {
@@ -327,7 +327,7 @@
 pub(super) struct InFlightGuard {
     shared: Arc<Shared>,
     upstream: UpstreamStart,
-    variant: Option<Asked>,
+    variant: Option<BoundVariant>,
     /// The prompt tokens that the upstream has yet to prefill.
     waiting_tokens: u64,
 }
