--- a/crates/valehold-gateway/src/traffic/answer.rs
+++ b/crates/valehold-gateway/src/traffic/answer.rs
@@ -16,10 +16,10 @@
 
 use super::{
     Body, BrokenOff,
-    exchange::{Exchange, Passable},
+    exchange::{Exchange, ReceivedAnswer},
     route::Job,
     send::{BegunAnswer, Rest, SendFailure},
-    state::{App, UnderWay},
+    state::{App, InFlightGuard},
 };
 use crate::view::Life;
 
@@ -34,7 +34,7 @@
     sender: Option<SendRequest<Full<Bytes>>>,
     rest: Option<Rest>,
     splitter: EventSplitter,
-    under_way: UnderWay,
+    under_way: InFlightGuard,
     variant: Option<Variant>,
     began: Instant,
     /// Events that were taken and not passed on yet.
@@ -52,7 +52,7 @@
         upstream: Arc<Upstream>,
         job: &Job,
         begun: BegunAnswer,
-        under_way: UnderWay,
+        under_way: InFlightGuard,
     ) -> Self {
         Self {
             upstream,
@@ -75,7 +75,7 @@
     ) -> Result<Bytes, SendFailure> {
         let next = self.next(app, order).await;
         let next = next.map_err(|BrokenOff| SendFailure::cut_off())?;
-        self.under_way.prompt_read();
+        self.under_way.prompt_prefilled();
         self.began = Instant::now();
         match next {
             Next::Events(bytes) => Ok(bytes),
@@ -145,7 +145,7 @@
     fn let_rest(&mut self, app: &App) {
         let took_ms = self.began.elapsed().as_secs_f64() * 1_000.0;
         if let Some(variant) = &self.variant {
-            app.note_slot_time(&variant.model, took_ms);
+            app.record_slot_time(&variant.model, took_ms);
         }
         if let (Some(sender), Some(rest)) = (self.sender.take(), self.rest) {
             app.pool.rest(&self.upstream.start(), sender, rest.stated);
@@ -174,12 +174,12 @@
             let taking = relay.next(&app, &mut order);
             let taken = self
                 .exchange
-                .patiently(&start.id, LONGEST_PAUSE, taking)
+                .wait_for_upstream(&start.id, LONGEST_PAUSE, taking)
                 .await;
             self.exchange.order = order;
             match taken {
                 Some(Ok(Next::Events(events))) => {
-                    self.exchange.record.passed_on();
+                    self.exchange.record.record_relayed();
                     return Some(Ok(events));
                 }
                 Some(Ok(Next::End)) => {
@@ -211,18 +211,18 @@
 
 /// Passes an answer on.
 pub(super) fn pass(
-    passable: Passable,
+    received: ReceivedAnswer,
     mut exchange: Exchange,
 ) -> Response<Body> {
     let leaving = exchange.app.shared.view.load().life != Life::Serving;
-    let mut answer = match passable {
-        Passable::Whole { head, body } => {
-            exchange.record.passed_on();
+    let mut answer = match received {
+        ReceivedAnswer::Whole { head, body } => {
+            exchange.record.record_relayed();
             exchange.log_answered(head.status);
             let body = Full::new(body).map_err(BrokenOff::from);
             Response::from_parts(head, Box::pin(body) as Body)
         }
-        Passable::Stream { head, relay } => {
+        ReceivedAnswer::Stream { head, relay } => {
             let passing = Passing { exchange, relay: Some(*relay) };
             let events = stream::unfold(passing, |mut passing| async {
                 let next = passing.next().await?;
