--- a/crates/valehold-gateway/src/control/crashes.rs
+++ b/crates/valehold-gateway/src/control/crashes.rs
@@ -110,7 +110,7 @@
             tokio::task::spawn_local(async move {
                 let listed = update_record(&*store, &refused, &obsolete).await;
                 let done = RecordSyncResult { listed, removed: obsolete };
-                let _ = inputs.send(Input::Recorded(done));
+                let _ = inputs.send(Input::RecordCallFinished(done));
             });
         }
     }
--- a/crates/valehold-gateway/src/control/feeds.rs
+++ b/crates/valehold-gateway/src/control/feeds.rs
@@ -62,7 +62,7 @@
         let input = match outcome {
             Ok(CatalogNews::Heard { version, catalog, evacuations }) => {
                 after = Some(version);
-                Input::CatalogHeard { version, catalog, evacuations }
+                Input::CatalogUpdated { version, catalog, evacuations }
             }
             Ok(CatalogNews::HistoryGone) => {
                 log_history_gone("watch_configuration", after);
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -19,7 +19,7 @@
 //!   limited upstreams.
 //! - `upstreams` maintains the registry of upstreams, and `publishing`
 //!   provides it to traffic.
-//! - `lease`, `placer`, `entry`, `needs` and `demand` place models.
+//! - `lease`, `placement`, `placer`, `entry`, `needs` and `demand` place models.
 
 mod behind;
 mod cold;
@@ -37,8 +37,8 @@
 mod loads;
 mod needs;
 mod paces;
+mod placement;
 mod placer;
-mod placing;
 mod publishing;
 mod store_status;
 mod telling;
@@ -72,11 +72,11 @@
     demand::{Demand, Sums},
     feeds::WatchState,
     input::Input,
-    lease::{Around, LeaseDuty},
+    lease::{LeaseManager, PeerLeaseState},
     limits::LimitState,
     paces::PaceState,
+    placement::PlacementSchedule,
     placer::{Authority, Placer},
-    placing::Placing,
     publishing::Published,
 };
 use crate::{
@@ -146,10 +146,10 @@
     outbox: RefCell<Outbox>,
     /// Messages of which some fragments have not arrived.
     fragments: Fragments,
-    placing: Placing,
+    placing: PlacementSchedule,
     inputs: mpsc::UnboundedSender<Input>,
     roster: Roster,
-    lease: Rc<RefCell<LeaseDuty>>,
+    lease: Rc<RefCell<LeaseManager>>,
     limits: LimitState,
     paces: PaceState,
     grantor: PermitGrantor,
@@ -223,7 +223,7 @@
         ));
         tokio::task::spawn_local(receive(socket.clone(), inputs.clone()));
         let settings = &shared.settings;
-        let lease = Rc::new(RefCell::new(LeaseDuty::new(
+        let lease = Rc::new(RefCell::new(LeaseManager::new(
             holder_name(settings),
             settings.lease.quiet_ms,
             store.clone(),
@@ -268,7 +268,7 @@
             socket,
             outbox: RefCell::new(Outbox::new(settings.peers.link_mbps)),
             fragments: Fragments::default(),
-            placing: Placing::default(),
+            placing: PlacementSchedule::default(),
             inputs,
             lease,
             limits: LimitState::new(settings.limits, is_alone, now),
@@ -334,7 +334,7 @@
                         };
                         self.handle_input(input);
                     }
-                    self.place_if_wanted();
+                    self.place_if_requested();
                     self.publish_if_due();
                 }
                 Some(variant) = wishes.variants.recv() =>
@@ -399,7 +399,7 @@
             }
             self.check_lease_holder();
         } else if now >= self.next_loads_at {
-            self.tell_loads(now);
+            self.send_loads(now);
         }
         self.publish_if_due();
     }
@@ -432,17 +432,17 @@
         if self.life != Life::Serving || !knows_others {
             return;
         }
-        let peers = Around {
-            holder_heard: self.roster.lease_holder(now).is_some(),
-            store_heard: self.roster.others_reach_store(),
-            place: self
+        let peers = PeerLeaseState {
+            has_holder: self.roster.lease_holder(now).is_some(),
+            others_reach_store: self.roster.others_reach_store(),
+            position: self
                 .roster
                 .duty_position(Duty::Place)
                 .min(MAX_LEASE_POSITION),
         };
         let lost_loads = self.placer.lost_loads(now);
         let mut lease = self.lease.borrow_mut();
-        lease.note_lost_loads(lost_loads);
+        lease.set_lost_loads(lost_loads);
         lease.tick(now, peers);
     }
 
@@ -452,7 +452,7 @@
             Input::StoreFailed { error, lasted } => {
                 self.on_store_failed(&error, lasted, now);
             }
-            Input::CatalogHeard { version, catalog, evacuations } => {
+            Input::CatalogUpdated { version, catalog, evacuations } => {
                 let store_was_unreachable = self.store == StoreSight::Fails;
                 self.on_store_answered(now);
                 self.record_store_era(version);
@@ -478,37 +478,40 @@
                 self.on_peer_state(peer, state, now);
             }
             Input::LeaseRead(read) => {
-                self.lease.borrow_mut().read_done(read, now);
+                self.lease.borrow_mut().on_read(read, now);
             }
             Input::LeaseWritten(write, written) => {
                 let took = write.takes;
-                self.lease.borrow_mut().write_done(write, written, now);
+                self.lease.borrow_mut().on_write(write, written, now);
                 let epoch = self.lease.borrow().held_epoch(now);
                 if let (true, Some(epoch)) = (took, epoch) {
-                    self.placer.listed(self.upstreams.listing());
-                    let others = self.lease.borrow_mut().take_inheritance();
+                    self.placer.replace_listing(self.upstreams.listing());
+                    let others =
+                        self.lease.borrow_mut().take_inherited_loads();
                     self.placer.begin_epoch(epoch, others);
                     // Tells peers to stop competing for the lease.
                     self.send_heartbeats(now);
                 }
                 self.shared.metrics.holds_lease(epoch.is_some());
             }
-            Input::Reported { start, report } => {
-                self.placer.reported(&start, report, now);
+            Input::EngineReported { start, report } => {
+                self.placer.on_report(&start, report, now);
                 self.send_holdings_unless_many_groups(now);
             }
-            Input::Ordered(order, end) => {
+            Input::OrderFinished(order, end) => {
                 self.shared.metrics.ordered(end.label());
-                if end.says_leaving() {
+                if end.reports_leaving() {
                     let start = order.engine.clone();
                     let source = WordSource::Answer;
                     self.on_leaving(&[start], source, now);
                 }
-                self.placer.ordered(order, &end, now);
+                self.placer.on_order_finished(order, &end, now);
                 self.send_holdings_unless_many_groups(now);
-                self.place_soon();
+                self.request_placement();
+            }
+            Input::RecordCallFinished(done) => {
+                self.on_record_synced(done, now)
             }
-            Input::Recorded(done) => self.on_record_synced(done, now),
             Input::Datagram(from, bytes) => {
                 self.on_datagram(from, &bytes, now)
             }
@@ -518,9 +521,9 @@
     fn request_load(&mut self, variant: Asked) {
         let now = self.now();
         if self.lease.borrow().held_epoch(now).is_some() {
-            self.placer.wished(variant, now);
-            self.place_soon();
-            self.place_if_wanted();
+            self.placer.on_load_request(variant, now);
+            self.request_placement();
+            self.place_if_requested();
         } else if let Some(holder) = self.roster.lease_holder(now) {
             self.send([holder], &Message::Wish(variant));
         }
--- a/crates/valehold-gateway/src/control/placer/mod.rs
+++ b/crates/valehold-gateway/src/control/placer/mod.rs
@@ -1,14 +1,15 @@
-//! Giving engines the orders that placement decides.
+//! Placement of models and adapters on engines, by orders to the engines.
 //!
-//! Every order states how many orders its engine must have taken before. A
-//! decision is made on what an engine holds after so many orders, and is
-//! carried out only if that still is so: an order that arrives late, or that
-//! another holder's has overtaken, does nothing.
+//! Every order states how many orders its engine must have accepted before. A
+//! decision rests on the engine's holding after that number of orders, and the
+//! engine executes the order only if the number still matches. An order that
+//! arrives late, or that an order of another holder has overtaken, has no
+//! effect.
 //!
 //! - `models` plans which engine loads and unloads which model.
-//! - `adapters` brings adapters.
+//! - `adapters` places adapters.
 //! - `holders` finds the engines that hold a model.
-//! - `orders` gives the orders, and takes in how they ended.
+//! - `orders` sends the orders and processes their results.
 
 mod adapters;
 mod holders;
@@ -46,11 +47,11 @@
 };
 
 use self::{
-    adapters::{Bringing, Wish},
-    holders::Holders,
+    adapters::{LoadRequest, PreloadScan},
+    holders::ModelHolders,
 };
 use super::{
-    entry::{ASK_EVERY_MS, Entry},
+    entry::{EngineEntry, POLL_INTERVAL_MS},
     input::Input,
 };
 use crate::{
@@ -58,75 +59,80 @@
     peers::roster::sums::{DemandSum, Loads},
 };
 
-/// How often the plan is made, in ms.
-const PLAN_EVERY_MS: u64 = 250;
+/// The minimum interval between two plans for models, in ms.
+const PLAN_INTERVAL_MS: u64 = 250;
 
-/// How many engines are asked at once at the most. Each question holds a
-/// connection, and a machine has a bounded number of those, however many
-/// engines there are.
-const MOST_QUESTIONS: usize = 256;
+/// The maximum number of engines that are polled at the same time. Each poll
+/// holds a connection, and the number of connections of a machine is limited,
+/// however many engines there are.
+const MAX_POLLS_IN_FLIGHT: usize = 256;
 
-/// How long an engine is left alone after an order failed, in ms.
-const AFTER_FAILURE_MS: u64 = 200;
+/// How long an engine gets no further calls after a poll or an order without
+/// an answer, in ms.
+const FAILURE_BACKOFF_MS: u64 = 200;
 
-/// After how many reports in a row from before an order its effect is taken
-/// for what they say. Reports lag by less than so many questions take.
-const MOST_OLD_REPORTS: u32 = 6;
+/// The number of consecutive reports older than the entry after which the next
+/// report is applied nonetheless. Reports lag by less than the time that so
+/// many polls take, so the entry is wrong by then.
+const MAX_STALE_REPORTS: u32 = 6;
 
-/// Loads from the weight store, for metrics.
+/// Counts of loads from the weight store, for metrics.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LoadCount {
-    /// Those that began in the last window, or may begin.
+    /// The loads that started in the last window or may still start.
     pub(super) counted: usize,
-    /// How many may begin in a window.
+    /// The number of loads that may start in a window.
     pub(super) allowed: usize,
 }
 
-/// What the lease allows an order to carry.
+/// The lease data that orders carry.
 #[derive(Clone)]
 pub(super) struct Authority {
-    /// The holder.
+    /// The holder of the lease: this gateway.
     pub(super) holder: InstanceId,
-    /// Returns the epoch, if an order may be given at this moment, and notes
-    /// that one is.
+    /// Returns the epoch if an order may be sent at this moment, and records
+    /// that an order is sent.
     pub(super) epoch: Rc<dyn Fn() -> Option<u64>>,
 }
 
-/// For each bound, the models that are missed inside it, and since when.
-type LostModels = BTreeMap<RegionBound, BTreeMap<ModelName, Millis>>;
+/// For each bound, the models that are missing inside the bound, and since
+/// when.
+type MissingModels = BTreeMap<RegionBound, BTreeMap<ModelName, Millis>>;
 
-/// Gives orders to engines.
+/// Places models and adapters on engines while this gateway holds the lease.
 pub(super) struct Placer {
     engines: Arc<dyn FleetEngines>,
     inputs: mpsc::UnboundedSender<Input>,
     authority: Authority,
-    entries: BTreeMap<UpstreamId, Entry>,
-    holders: Holders,
-    /// How many engines are being asked.
-    questions: usize,
-    /// Data centres that are to be empty.
-    emptied: BTreeSet<DataCentreId>,
-    wishes: BTreeMap<Asked, Wish>,
-    bringing: BTreeMap<ServiceName, Bringing>,
-    /// Models of each service that no sound engine holds, or none inside a
-    /// bound in which they are used, and since when.
-    lost: BTreeMap<ServiceName, LostModels>,
-    /// Which models are used inside which bounds.
-    bound_use: BoundUse,
-    /// Adapters about which orders are under way.
-    ordered_now: BTreeSet<Variant>,
-    /// When models were planned last.
-    planned: Millis,
+    entries: BTreeMap<UpstreamId, EngineEntry>,
+    holders: ModelHolders,
+    /// The number of engines that are being polled.
+    polls_in_flight: usize,
+    /// Data centres that operators evacuate.
+    evacuated: BTreeSet<DataCentreId>,
+    load_requests: BTreeMap<Asked, LoadRequest>,
+    preload_scans: BTreeMap<ServiceName, PreloadScan>,
+    /// The models of each service that no available engine serves, or no
+    /// available engine inside a bound in which the model is used, and since
+    /// when.
+    missing: BTreeMap<ServiceName, MissingModels>,
+    /// The models that are used inside each bound.
+    bound_usage: BoundUse,
+    /// Adapters with a load order in flight.
+    pending_adapter_orders: BTreeSet<Variant>,
+    /// When models were last planned.
+    planned_at: Millis,
     weight_loads: WeightLoads,
-    /// Whether the weight store bore no more loads when it was planned last.
-    held_back: bool,
-    /// Which service plans first the next time.
-    turn: usize,
+    /// Whether the last plan found that no more loads from the weight store
+    /// may start.
+    loads_exhausted: bool,
+    /// The index of the service that is planned first in the next plan.
+    next_service_index: usize,
     peaks: BTreeMap<ServiceName, BTreeMap<RegionBound, Peaks>>,
     topology: Topology,
     load_window_s: f64,
     mechanisms: MechanismSettings,
-    /// The last stamp that was given.
+    /// The last stamp of an advertised holding.
     stamp: Stamp,
 }
 
@@ -144,19 +150,19 @@
             inputs,
             authority,
             entries: BTreeMap::new(),
-            holders: Holders::default(),
-            questions: 0,
-            emptied: BTreeSet::new(),
-            wishes: BTreeMap::new(),
-            bringing: BTreeMap::new(),
-            lost: BTreeMap::new(),
-            ordered_now: BTreeSet::new(),
-            planned: Millis::default(),
+            holders: ModelHolders::default(),
+            polls_in_flight: 0,
+            evacuated: BTreeSet::new(),
+            load_requests: BTreeMap::new(),
+            preload_scans: BTreeMap::new(),
+            missing: BTreeMap::new(),
+            pending_adapter_orders: BTreeSet::new(),
+            planned_at: Millis::default(),
             weight_loads: WeightLoads::default(),
-            held_back: false,
-            turn: 0,
+            loads_exhausted: false,
+            next_service_index: 0,
             peaks: BTreeMap::new(),
-            bound_use: BoundUse::default(),
+            bound_usage: BoundUse::default(),
             topology,
             load_window_s,
             mechanisms,
@@ -164,34 +170,34 @@
         }
     }
 
-    /// Takes in which data centres are to be empty: engines in them count as
-    /// gone, so that what they hold comes up elsewhere.
-    pub(super) fn evacuate(&mut self, orders: &EvacuationState) {
-        self.emptied = orders.ordered().cloned().collect();
+    /// Updates the evacuated data centres. Engines in an evacuated data centre
+    /// count as unavailable, so that their models are loaded elsewhere.
+    pub(super) fn evacuate(&mut self, evacuations: &EvacuationState) {
+        self.evacuated = evacuations.ordered().cloned().collect();
         for entry in self.entries.values_mut() {
-            entry.empty(self.emptied.contains(&entry.data_centre));
+            entry.set_evacuated(self.evacuated.contains(&entry.data_centre));
         }
     }
 
-    /// Takes in the upstreams.
-    pub(super) fn listed(&mut self, listing: &Listing) {
+    /// Applies a whole list of upstreams.
+    pub(super) fn replace_listing(&mut self, listing: &Listing) {
         let entries = &mut self.entries;
         entries.retain(|id, _| listing.upstreams.contains_key(id));
         for upstream in listing.upstreams.values() {
-            self.list(upstream);
+            self.update_listing(upstream);
         }
     }
 
-    fn list(&mut self, upstream: &Arc<Upstream>) {
+    fn update_listing(&mut self, upstream: &Arc<Upstream>) {
         let entry = self.entries.entry(upstream.id.clone());
-        let entry = entry.or_insert_with(|| Entry::new(upstream));
-        entry.list(upstream);
-        entry.empty(self.emptied.contains(&upstream.data_centre));
-        self.holders.note(&upstream.id, entry);
+        let entry = entry.or_insert_with(|| EngineEntry::new(upstream));
+        entry.update_listing(upstream);
+        entry.set_evacuated(self.evacuated.contains(&upstream.data_centre));
+        self.holders.record(&upstream.id, entry);
     }
 
-    /// Takes in what changed of some upstreams.
-    pub(super) fn list_changes(
+    /// Applies the changes of some upstreams in the list.
+    pub(super) fn apply_listing_changes(
         &mut self,
         changed: &BTreeSet<UpstreamId>,
         listing: &Listing,
@@ -201,107 +207,121 @@
                 self.entries.remove(id);
                 continue;
             };
-            self.list(upstream);
+            self.update_listing(upstream);
         }
     }
 
-    /// Takes in that a request waits for a variant inside its bound.
-    pub(super) fn wished(&mut self, asked: Asked, now: Millis) {
-        let Asked { bound, variant } = &asked;
-        self.bound_use.note(bound, &variant.model, now);
+    /// Handles a load request: a request of a caller waits for a variant
+    /// inside a bound.
+    pub(super) fn on_load_request(&mut self, requested: Asked, now: Millis) {
+        let Asked { bound, variant } = &requested;
+        self.bound_usage.note(bound, &variant.model, now);
         let topology = &self.topology;
-        // Who wishes for what is there has not been told.
-        for id in self.holders.of(&variant.model) {
+        // A load request for a variant that an engine already serves means
+        // that the requesting gateway has missed the advertisement.
+        for id in self.holders.engines_with(&variant.model) {
             let Some(entry) = self.entries.get_mut(id) else { continue };
             let is_inside =
                 bound.allows(topology.region_of(&entry.data_centre));
-            if is_inside && entry.serves(variant) && !entry.uncertain {
-                entry.changed = Some(now);
-                // It may be gone, too: whoever wishes did not reach it.
-                entry.uncertain = now.since(entry.asked) >= ASK_EVERY_MS;
+            if is_inside && entry.serves(variant) && !entry.needs_report {
+                entry.advertised_since = Some(now);
+                // The requesting gateway may also have failed to reach the
+                // engine, which may be gone.
+                entry.needs_report =
+                    now.since(entry.polled_at) >= POLL_INTERVAL_MS;
             }
         }
-        let wish = self.wishes.entry(asked).or_default();
-        wish.repeated = now;
+        let request = self.load_requests.entry(requested).or_default();
+        request.last_made = now;
     }
 
-    /// Begins an epoch, with what others ordered before.
+    /// Begins a lease epoch, with the loads that earlier holders ordered.
     pub(super) fn begin_epoch(
         &mut self,
         epoch: u64,
-        others: Option<InheritedLoads>,
+        inherited: Option<InheritedLoads>,
     ) {
         self.stamp = Stamp { epoch, sequence: 0 };
-        self.held_back = false;
-        if let Some(others) = others {
-            self.weight_loads.inherit(others);
+        self.loads_exhausted = false;
+        if let Some(inherited) = inherited {
+            self.weight_loads.inherit(inherited);
         }
-        self.lost.clear();
+        self.missing.clear();
         self.peaks.clear();
         for entry in self.entries.values_mut() {
-            entry.uncertain = true;
+            entry.needs_report = true;
             entry.holding.sequence = 0;
         }
     }
 
-    /// Returns the loads that were ordered without an answer and may begin
-    /// yet.
+    /// Returns the loads whose orders were not answered and that may still
+    /// start.
     pub(super) fn lost_loads(&mut self, now: Millis) -> LostLoads {
         self.weight_loads.lost(now)
     }
 
-    /// Returns what engines hold since the last orders.
-    pub(super) fn news(&self, now: Millis) -> Vec<EngineHolding> {
-        self.told(|_, entry| entry.is_news(now))
+    /// Returns the recently changed holdings of engines, for peers.
+    pub(super) fn holdings_to_advertise(
+        &self,
+        now: Millis,
+    ) -> Vec<EngineHolding> {
+        self.holdings_where(|_, entry| entry.needs_advertising(now))
     }
 
-    /// Returns those of the news that were not told yet.
-    pub(super) fn news_beyond(
+    /// Returns the recently changed holdings that a registry of upstreams has
+    /// not received.
+    pub(super) fn holdings_unknown_to(
         &self,
-        known: &UpstreamRegistry,
+        registry: &UpstreamRegistry,
         now: Millis,
     ) -> Vec<EngineHolding> {
-        let is_news = |id: &UpstreamId, entry: &Entry| {
-            entry.is_news(now) && !known.has_holding_report(id, entry.stamp)
+        let is_due = |id: &UpstreamId, entry: &EngineEntry| {
+            entry.needs_advertising(now)
+                && !registry.has_holding_report(id, entry.stamp)
         };
-        self.told(is_news)
+        self.holdings_where(is_due)
     }
 
-    /// Returns what engines take requests for that give a model up: their
-    /// own word in the list says otherwise until they have.
-    pub(super) fn unloading(&self) -> Vec<EngineHolding> {
-        self.told(|_, entry| entry.unloading.is_some())
+    /// Returns the usable holdings of engines that are unloading a model. The
+    /// list of upstreams still contains the model until the unload is
+    /// complete.
+    pub(super) fn unloading_holdings(&self) -> Vec<EngineHolding> {
+        self.holdings_where(|_, entry| entry.unloading.is_some())
     }
 
-    fn told(
+    /// Returns the usable holdings of the engines that satisfy a predicate.
+    fn holdings_where(
         &self,
-        which: impl Fn(&UpstreamId, &Entry) -> bool,
+        predicate: impl Fn(&UpstreamId, &EngineEntry) -> bool,
     ) -> Vec<EngineHolding> {
-        let entries = self.entries.iter().filter(|(id, one)| which(id, one));
-        let told = entries.map(|(id, entry)| EngineHolding {
+        let entries =
+            self.entries.iter().filter(|(id, entry)| predicate(id, entry));
+        let holdings = entries.map(|(id, entry)| EngineHolding {
             engine: id.clone(),
             started_at_ms: entry.start.started_at_ms,
-            holding: entry.usable(),
+            holding: entry.usable_holding(),
             stamp: entry.stamp,
         });
-        told.collect()
+        holdings.collect()
     }
 
-    /// Takes in which engines asked this gateway for rest, or take a limited
-    /// number of requests: questions and orders would be some of them.
-    pub(super) fn note_rests(
+    /// Updates which engines asked this gateway to back off or accept a
+    /// limited number of requests. Polls and orders would count as such
+    /// requests.
+    pub(super) fn update_restrictions(
         &mut self,
-        rests: &UpstreamBackoffs,
+        backoffs: &UpstreamBackoffs,
         limits: &UpstreamLimits,
         now: Millis,
     ) {
         for entry in self.entries.values_mut() {
-            entry.resting = !rests.is_ready(&entry.start, now)
+            entry.restricted = !backoffs.is_ready(&entry.start, now)
                 || limits.rate(&entry.start).is_some();
         }
     }
 
-    /// Does what is due for one service while orders may be given.
+    /// Performs the due work for one service while orders may be given, except
+    /// for the plan of its models.
     pub(super) fn tick(
         &mut self,
         now: Millis,
@@ -310,19 +330,19 @@
         demand: &DemandSum,
     ) {
         for entry in self.entries.values_mut() {
-            entry.forget_arrivals(now);
+            entry.prune_recent_adapters(now);
         }
         self.holders.rebuild_if_due(&self.entries, now);
-        self.note_bound_use(demand, now);
-        self.ask_where_due(service, now);
-        self.place_adapters(now, service, spec, demand);
+        self.record_bound_usage(demand, now);
+        self.poll_due_engines(service, now);
+        self.place_requested_adapters(now, service, spec, demand);
         if self.mechanisms.adapters_ahead {
-            self.bring_adapters(now, service, spec, demand);
+            self.preload_adapters(now, service, spec, demand);
         }
     }
 
-    /// Plans the models of all services, if that is due, and returns how many
-    /// loads from the weight store count.
+    /// Plans the models of all services if a plan is due, and returns the
+    /// count of loads from the weight store.
     pub(super) fn plan_if_due(
         &mut self,
         now: Millis,
@@ -330,125 +350,128 @@
         demand: &DemandSum,
         loads: &Loads,
     ) -> Option<LoadCount> {
-        if now.since(self.planned) < PLAN_EVERY_MS {
+        if now.since(self.planned_at) < PLAN_INTERVAL_MS {
             return None;
         }
-        self.planned = now;
+        self.planned_at = now;
         let rate = self.load_rate(catalog)?;
-        self.tell_held_back(now, rate);
+        self.log_loads_exhausted(now, rate);
         self.plan_models(now, catalog, rate, demand, loads);
         let counted = self.weight_loads.count(rate, now);
         Some(LoadCount { counted, allowed: rate.in_window() })
     }
 
-    /// Notes which models are used inside bounds.
-    fn note_bound_use(&mut self, demand: &DemandSum, now: Millis) {
+    /// Records which models are used inside bounds.
+    fn record_bound_usage(&mut self, demand: &DemandSum, now: Millis) {
         for (bound, variants) in demand {
             for variant in variants.keys() {
-                self.bound_use.note(bound, &variant.model, now);
+                self.bound_usage.note(bound, &variant.model, now);
             }
         }
-        self.bound_use.pass(now);
+        self.bound_usage.pass(now);
     }
 
-    /// Tells whether an engine is inside a bound.
-    fn is_inside(&self, bound: &RegionBound, entry: &Entry) -> bool {
+    /// Returns whether an engine is inside a bound.
+    fn is_inside(&self, bound: &RegionBound, entry: &EngineEntry) -> bool {
         bound.allows(self.topology.region_of(&entry.data_centre))
     }
 
-    /// Asks engines of which a report is needed, those first that answered
-    /// lately and were left alone the longest.
-    fn ask_where_due(&mut self, service: &ServiceName, now: Millis) {
-        let free = MOST_QUESTIONS.saturating_sub(self.questions);
+    /// Polls engines whose report is needed, as far as the number of polls in
+    /// flight permits. Engines without failed polls come first, and among
+    /// equals those that were polled the longest ago.
+    fn poll_due_engines(&mut self, service: &ServiceName, now: Millis) {
+        let free = MAX_POLLS_IN_FLIGHT.saturating_sub(self.polls_in_flight);
         if free == 0 {
             return;
         }
-        let of_service =
+        let engines =
             self.entries.iter().filter(|(_, entry)| entry.service == *service);
-        let mut due: Vec<(bool, Millis, &UpstreamId)> = of_service
-            .filter(|(_, entry)| entry.is_question_due(now))
-            .map(|(id, entry)| (entry.failures > 0, entry.asked, id))
+        let mut due: Vec<(bool, Millis, &UpstreamId)> = engines
+            .filter(|(_, entry)| entry.is_poll_due(now))
+            .map(|(id, entry)| (entry.failures > 0, entry.polled_at, id))
             .collect();
         due.sort_unstable();
         due.truncate(free);
         let due: Vec<UpstreamId> =
             due.into_iter().map(|(_, _, id)| id.clone()).collect();
         for id in due {
-            self.ask(&id, now);
+            self.poll_engine(&id, now);
         }
     }
 
-    fn ask(&mut self, id: &UpstreamId, now: Millis) {
+    fn poll_engine(&mut self, id: &UpstreamId, now: Millis) {
         let Some(entry) = self.entries.get_mut(id) else { return };
-        entry.under_way = true;
-        entry.asked = now;
-        self.questions += 1;
+        entry.call_in_flight = true;
+        entry.polled_at = now;
+        self.polls_in_flight += 1;
         let (engines, inputs) = (self.engines.clone(), self.inputs.clone());
         let (start, address) = (entry.start.clone(), entry.address);
         tokio::task::spawn_local(async move {
             let report = engines.report(address).await;
-            let input = Input::Reported { start, report };
+            let input = Input::EngineReported { start, report };
             let _ = inputs.send(input);
         });
     }
 
-    /// Takes in an engine's report, which one of its starts was asked for.
-    pub(super) fn reported(
+    /// Handles the result of a poll, which was sent to the given start of an
+    /// engine.
+    pub(super) fn on_report(
         &mut self,
         start: &UpstreamStart,
         report: Result<EngineReport, PortError>,
         now: Millis,
     ) {
-        self.questions = self.questions.saturating_sub(1);
+        self.polls_in_flight = self.polls_in_flight.saturating_sub(1);
         let Some(entry) = self.entries.get_mut(&start.id) else { return };
         if entry.start != *start {
-            // An earlier start was asked.
+            // The poll was sent to another start of the engine.
             return;
         }
-        entry.under_way = false;
+        entry.call_in_flight = false;
         let report = match report {
             Ok(report) => report,
             Err(error) => {
-                log::debug!("{} did not report: {error}", start.id);
+                log::debug!("no report from engine {}: {error}", start.id);
                 entry.failures += 1;
-                entry.left_alone_until = now + AFTER_FAILURE_MS;
+                entry.backoff_until = now + FAILURE_BACKOFF_MS;
                 return;
             }
         };
         entry.failures = 0;
-        if entry.is_of_this_start(report.birth) {
+        if entry.is_current_start(report.birth) {
             let orders = report.holding.sequence;
             self.weight_loads.record_accepted(start, orders, now);
         }
-        if entry.is_later(report.birth) {
-            entry.begin_anew(report.birth);
-            entry.change(now, &mut self.stamp);
+        if entry.is_later_start(report.birth) {
+            entry.restart(report.birth);
+            entry.mark_changed(now, &mut self.stamp);
         }
-        let is_old = !entry.is_of_this_start(report.birth)
+        let is_stale = !entry.is_current_start(report.birth)
             || report.holding.sequence < entry.holding.sequence;
-        if is_old && entry.old_reports < MOST_OLD_REPORTS {
-            // It is from before the last order.
-            entry.old_reports += 1;
-            entry.left_alone_until = now + ASK_EVERY_MS / 4;
+        if is_stale && entry.stale_reports < MAX_STALE_REPORTS {
+            // The report may be older than the last order.
+            entry.stale_reports += 1;
+            entry.backoff_until = now + POLL_INTERVAL_MS / 4;
             return;
         }
-        if !entry.is_of_this_start(report.birth) {
-            // Its clock went back.
-            entry.begin_anew(report.birth);
-            entry.change(now, &mut self.stamp);
+        if !entry.is_current_start(report.birth) {
+            // Reports keep stating an earlier start: the engine was restarted
+            // after its clock had been set back.
+            entry.restart(report.birth);
+            entry.mark_changed(now, &mut self.stamp);
         }
-        entry.old_reports = 0;
-        entry.uncertain = false;
-        entry.busy = report.busy;
-        let told = entry.usable();
+        entry.stale_reports = 0;
+        entry.needs_report = false;
+        entry.executing_model_order = report.busy;
+        let advertised = entry.usable_holding();
         if !report.busy {
             entry.loading = None;
             entry.unloading = None;
         }
         entry.holding = report.holding;
-        self.holders.note(&start.id, entry);
-        if entry.usable() != told {
-            entry.change(now, &mut self.stamp);
+        self.holders.record(&start.id, entry);
+        if entry.usable_holding() != advertised {
+            entry.mark_changed(now, &mut self.stamp);
         }
         entry.copies = report.copies;
     }
--- a/crates/valehold-gateway/src/control/placer/tests.rs
+++ b/crates/valehold-gateway/src/control/placer/tests.rs
@@ -1,4 +1,4 @@
-//! What the holder keeps of engines that start again under their name.
+//! Tests of restarted engines, of polls, and of the placement of adapters.
 
 use std::{
     collections::BTreeSet,
@@ -37,17 +37,17 @@
     },
 };
 
-use super::{Authority, MOST_QUESTIONS, Placer};
+use super::{Authority, MAX_POLLS_IN_FLIGHT, Placer};
 use crate::{
-    control::input::{GivenOrder, Input, OrderEnd},
+    control::input::{Input, OrderResult, PendingOrder},
     mechanisms::MechanismSettings,
     peers::{message::VariantDemand, roster::sums::DemandSum},
 };
 
-/// Engines that answer nothing.
-struct Silent;
+/// Engines that answer no call.
+struct SilentEngines;
 
-impl FleetEngines for Silent {
+impl FleetEngines for SilentEngines {
     fn report(&self, _: SocketAddr) -> Answer<'_, EngineReport> {
         async { Err(PortError::timed_out("silent")) }.boxed()
     }
@@ -63,7 +63,7 @@
     let authority = Authority { holder, epoch: Rc::new(|| Some(1)) };
     let mechanisms = MechanismSettings::default();
     let topology = Topology::new(DataCentreId::new("north"), [].into());
-    let engines = Arc::new(Silent);
+    let engines = Arc::new(SilentEngines);
     Placer::new(engines, inputs, authority, 5.0, mechanisms, topology)
 }
 
@@ -71,8 +71,11 @@
     Millis::new(ms)
 }
 
-fn start(birth: u64) -> UpstreamStart {
-    UpstreamStart { id: UpstreamId::new("e1"), started_at_ms: Some(birth) }
+fn start(started_at_ms: u64) -> UpstreamStart {
+    UpstreamStart {
+        id: UpstreamId::new("e1"),
+        started_at_ms: Some(started_at_ms),
+    }
 }
 
 fn holding(sequence: u64, models: &[&str]) -> Holding {
@@ -81,7 +84,7 @@
     Holding { sequence, models }
 }
 
-fn list(birth: u64, models: &[&str]) -> Listing {
+fn listing_of_one(started_at_ms: u64, models: &[&str]) -> Listing {
     let upstream = Upstream {
         id: UpstreamId::new("e1"),
         service: ServiceName::new("engines"),
@@ -90,7 +93,7 @@
         slots: 4,
         leaving: false,
         cold_for_ms: 0,
-        started_at_ms: Some(birth),
+        started_at_ms: Some(started_at_ms),
         holding: holding(0, models),
     };
     let upstreams = [(upstream.id.clone(), Arc::new(upstream))];
@@ -98,103 +101,105 @@
 }
 
 fn report(
-    birth: u64,
+    started_at_ms: u64,
     sequence: u64,
     models: &[&str],
 ) -> Result<EngineReport, PortError> {
     Ok(EngineReport {
-        birth: Some(birth),
+        birth: Some(started_at_ms),
         holding: holding(sequence, models),
         copies: BTreeSet::new(),
         busy: false,
     })
 }
 
-/// Makes a placer that knows an engine's first start: seven orders were taken.
-fn knowing() -> Placer {
+/// Creates a placer that knows one engine, after a report of its first start
+/// with seven accepted orders.
+fn placer_with_engine() -> Placer {
     let mut placer = placer();
-    placer.listed(&list(1, &["alpha"]));
+    placer.replace_listing(&listing_of_one(1, &["alpha"]));
     placer.begin_epoch(1, None);
-    placer.reported(&start(1), report(1, 7, &["alpha", "beta"]), at(0));
+    placer.on_report(&start(1), report(1, 7, &["alpha", "beta"]), at(0));
     placer
 }
 
-/// Returns the last word on the engine.
-fn word(placer: &Placer) -> EngineHolding {
-    placer.told(|_, _| true).remove(0)
+/// Returns the latest advertisement of the engine's holding.
+fn advertised(placer: &Placer) -> EngineHolding {
+    placer.holdings_where(|_, _| true).remove(0)
 }
 
 #[gtest]
-fn a_report_of_another_start_counts_at_once() {
-    let mut placer = knowing();
-    let before = word(&placer);
-    placer.reported(&start(1), report(2, 0, &[]), at(100));
-    let after = word(&placer);
+fn a_report_of_a_later_start_is_applied_at_once() {
+    let mut placer = placer_with_engine();
+    let before = advertised(&placer);
+    placer.on_report(&start(1), report(2, 0, &[]), at(100));
+    let after = advertised(&placer);
     expect_that!(after.started_at_ms, some(eq(2)));
     expect_that!(after.holding, eq(&holding(0, &[])));
     expect_that!(after.stamp, gt(before.stamp));
-    expect_that!(placer.news(at(100)), len(eq(1)));
+    expect_that!(placer.holdings_to_advertise(at(100)), len(eq(1)));
 }
 
 #[gtest]
-fn an_entry_of_another_start_voids_what_was_known() {
-    let mut placer = knowing();
-    placer.listed(&list(2, &["gamma"]));
-    expect_that!(word(&placer).started_at_ms, some(eq(2)));
-    expect_that!(word(&placer).holding, eq(&holding(0, &["gamma"])));
+fn a_listing_of_a_later_start_discards_the_earlier_state() {
+    let mut placer = placer_with_engine();
+    placer.replace_listing(&listing_of_one(2, &["gamma"]));
+    expect_that!(advertised(&placer).started_at_ms, some(eq(2)));
+    expect_that!(advertised(&placer).holding, eq(&holding(0, &["gamma"])));
 }
 
 #[gtest]
-fn a_late_report_brings_no_earlier_start_back() {
-    let mut placer = knowing();
-    placer.listed(&list(2, &[]));
-    placer.reported(&start(2), report(2, 1, &["gamma"]), at(100));
-    let known = word(&placer);
-    // It was asked before the engine started again.
-    placer.reported(&start(1), report(1, 9, &["alpha"]), at(110));
-    // It answers for its earlier start.
-    placer.reported(&start(2), report(1, 9, &["alpha"]), at(120));
-    expect_that!(word(&placer), eq(&known));
+fn a_late_report_does_not_restore_an_earlier_start() {
+    let mut placer = placer_with_engine();
+    placer.replace_listing(&listing_of_one(2, &[]));
+    placer.on_report(&start(2), report(2, 1, &["gamma"]), at(100));
+    let unchanged = advertised(&placer);
+    // This poll was sent before the engine was restarted.
+    placer.on_report(&start(1), report(1, 9, &["alpha"]), at(110));
+    // The answer to a later poll describes the earlier start.
+    placer.on_report(&start(2), report(1, 9, &["alpha"]), at(120));
+    expect_that!(advertised(&placer), eq(&unchanged));
 }
 
 #[gtest]
 fn an_order_to_an_earlier_start_changes_nothing() {
-    let mut placer = knowing();
-    placer.listed(&list(2, &[]));
-    let known = word(&placer);
-    let order = GivenOrder {
+    let mut placer = placer_with_engine();
+    placer.replace_listing(&listing_of_one(2, &[]));
+    let unchanged = advertised(&placer);
+    let order = PendingOrder {
         engine: start(1),
         address: ([127, 0, 0, 1], 1).into(),
-        wish: OrderWish::Load(Variant::adapted("alpha", "a1")),
+        action: OrderWish::Load(Variant::adapted("alpha", "a1")),
         expected_sequence: 7,
         epoch: 1,
-        planned: at(0),
+        planned_at: at(0),
         source: None,
-        least_ms: 0,
+        min_duration_ms: 0,
     };
     let outcome = OrderOutcome::Accepted;
     let answer = OrderAnswer { outcome, leaving: false };
-    let taken = OrderEnd::Answered(answer);
-    placer.ordered(order, &taken, at(100));
-    expect_that!(word(&placer), eq(&known));
+    let result = OrderResult::Answered(answer);
+    placer.on_order_finished(order, &result, at(100));
+    expect_that!(advertised(&placer), eq(&unchanged));
 }
 
-/// Engines that count how many are asked at once, and answer after a while.
+/// Engines that answer after 5 ms and count the polls, in total and at the
+/// same time.
 #[derive(Default)]
-struct Counting {
-    asked_now: Arc<AtomicUsize>,
-    most: Arc<AtomicUsize>,
-    asked: AtomicUsize,
+struct CountingEngines {
+    in_flight: Arc<AtomicUsize>,
+    max_in_flight: Arc<AtomicUsize>,
+    polled: AtomicUsize,
 }
 
-impl FleetEngines for Counting {
+impl FleetEngines for CountingEngines {
     fn report(&self, _: SocketAddr) -> Answer<'_, EngineReport> {
-        let now = self.asked_now.fetch_add(1, Ordering::Relaxed) + 1;
-        self.most.fetch_max(now, Ordering::Relaxed);
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        let now = self.in_flight.fetch_add(1, Ordering::Relaxed) + 1;
+        self.max_in_flight.fetch_max(now, Ordering::Relaxed);
+        self.polled.fetch_add(1, Ordering::Relaxed);
         async {
             tokio::time::sleep(Duration::from_millis(5)).await;
-            self.asked_now.fetch_sub(1, Ordering::Relaxed);
+            self.in_flight.fetch_sub(1, Ordering::Relaxed);
             report(1, 0, &["alpha"])
         }
         .boxed()
@@ -205,91 +210,101 @@
     }
 }
 
-fn many(count: usize) -> Listing {
-    let one = Upstream::clone(&list(1, &["alpha"]).upstreams[&start(1).id]);
+fn listing_of_engines(count: usize) -> Listing {
+    let template = Upstream::clone(
+        &listing_of_one(1, &["alpha"]).upstreams[&start(1).id],
+    );
     let upstreams = (0..count).map(|number| {
         let id = UpstreamId::new(format!("e{number}"));
-        let upstream = Upstream { id: id.clone(), ..one.clone() };
+        let upstream = Upstream { id: id.clone(), ..template.clone() };
         (id, Arc::new(upstream))
     });
     Listing { version: 1, upstreams: upstreams.collect() }
 }
 
-/// Returns how many of so many engines were asked at once at the most while a
-/// holder began its epoch, and how many were asked in all.
-async fn questions_of(count: usize) -> (usize, usize) {
-    let engines = Arc::new(Counting::default());
+/// Polls `count` engines at the start of an epoch. Returns the maximum number
+/// of polls at the same time and the total number of polls.
+async fn poll_all_engines(count: usize) -> (usize, usize) {
+    let engines = Arc::new(CountingEngines::default());
     let (inputs, mut reports) = mpsc::unbounded_channel();
     let mut placer = Placer { inputs, ..placer() };
     placer.engines = engines.clone();
-    placer.listed(&many(count));
+    placer.replace_listing(&listing_of_engines(count));
     placer.begin_epoch(1, None);
     let service = ServiceName::new("engines");
     let mut now = 1_000;
-    placer.ask_where_due(&service, at(now));
-    while placer.questions > 0 {
-        let Some(Input::Reported { start, report }) = reports.recv().await
+    placer.poll_due_engines(&service, at(now));
+    while placer.polls_in_flight > 0 {
+        let Some(Input::EngineReported { start, report }) =
+            reports.recv().await
         else {
             break;
         };
         now += 1;
-        placer.reported(&start, report, at(now));
-        placer.ask_where_due(&service, at(now));
+        placer.on_report(&start, report, at(now));
+        placer.poll_due_engines(&service, at(now));
     }
-    let most = engines.most.load(Ordering::Relaxed);
-    (most, engines.asked.load(Ordering::Relaxed))
+    let max_in_flight = engines.max_in_flight.load(Ordering::Relaxed);
+    (max_in_flight, engines.polled.load(Ordering::Relaxed))
 }
 
-// A holder asked every engine at once when its epoch began, and kept each
-// connection: 3,912 descriptors at 3,996 engines, where a machine of the
-// smallest kind has 3,900 for its sockets. At more engines no such machine
-// could have held the lease, and models would have been placed by nobody.
+// A holder once polled every engine at the same time when its epoch began, and
+// kept each connection: 3,912 descriptors for 3,996 engines, where a machine
+// of the smallest kind has 3,900 for its sockets. With more engines, no such
+// machine could have held the lease, and no gateway would have placed models.
 #[gtest]
 #[tokio::test]
-async fn a_holder_asks_no_more_engines_at_once_where_there_are_more() {
+async fn the_number_of_polls_in_flight_does_not_grow_with_the_engines() {
     let local = tokio::task::LocalSet::new();
-    let (most, asked) = local.run_until(questions_of(1_000)).await;
-    let (most_of_twice, asked_of_twice) =
-        local.run_until(questions_of(2_000)).await;
-    expect_that!(most, le(256));
-    expect_that!(most_of_twice, eq(most));
-    expect_that!((asked, asked_of_twice), eq((1_000, 2_000)));
+    let (max_in_flight, polled) =
+        local.run_until(poll_all_engines(1_000)).await;
+    let (max_of_twice, polled_of_twice) =
+        local.run_until(poll_all_engines(2_000)).await;
+    expect_that!(max_in_flight, le(256));
+    expect_that!(max_of_twice, eq(max_in_flight));
+    expect_that!((polled, polled_of_twice), eq((1_000, 2_000)));
 }
 
-// Engines that do not answer hold their questions for as long as a question
-// may take. Those that answer are not to wait for them again and again.
+// An engine that does not answer occupies a poll until the poll times out.
+// Unless silent engines are polled last, engines that answer wait for them
+// again and again.
 #[gtest]
 #[tokio::test]
-async fn silent_engines_are_asked_after_those_that_answer() {
+async fn silent_engines_are_polled_after_responding_ones() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
             let (inputs, _reports) = mpsc::unbounded_channel();
             let mut placer = Placer { inputs, ..placer() };
-            placer.listed(&many(MOST_QUESTIONS + 1));
+            placer
+                .replace_listing(&listing_of_engines(MAX_POLLS_IN_FLIGHT + 1));
             placer.begin_epoch(1, None);
             let service = ServiceName::new("engines");
-            placer.ask_where_due(&service, at(1_000));
-            let unasked = |placer: &Placer| {
+            placer.poll_due_engines(&service, at(1_000));
+            let not_polled = |placer: &Placer| {
                 let entries = placer.entries.values();
-                entries.filter(|entry| !entry.under_way).count()
+                entries.filter(|entry| !entry.call_in_flight).count()
             };
-            expect_that!(unasked(&placer), eq(1));
-            let asked = placer.entries.values().filter(|one| one.under_way);
-            let asked: Vec<_> = asked.map(|one| one.start.clone()).collect();
-            for start in asked {
+            expect_that!(not_polled(&placer), eq(1));
+            let polled =
+                placer.entries.values().filter(|entry| entry.call_in_flight);
+            let polled: Vec<_> =
+                polled.map(|entry| entry.start.clone()).collect();
+            for start in polled {
                 let error = Err(PortError::timed_out("silent"));
-                placer.reported(&start, error, at(1_300));
+                placer.on_report(&start, error, at(1_300));
             }
-            // All are due again; the one that was never asked comes first.
-            placer.ask_where_due(&service, at(2_000));
-            let late = placer.entries.values().find(|entry| !entry.under_way);
-            expect_that!(late.map(|entry| entry.failures), some(eq(1)));
+            // All engines are due again. The one that was never polled comes
+            // first.
+            placer.poll_due_engines(&service, at(2_000));
+            let not_polled =
+                placer.entries.values().find(|entry| !entry.call_in_flight);
+            expect_that!(not_polled.map(|entry| entry.failures), some(eq(1)));
         })
         .await;
 }
 
-/// Makes a declaration of some models with three adapters each.
+/// Creates the specification of some models with three adapters each.
 fn spec_of(models: &[&str]) -> EngineSpec {
     let adapters = ["a1", "a2", "a3"].map(AdapterName::new);
     let model = |name: &&str| ModelSpec {
@@ -308,9 +323,9 @@
     }
 }
 
-/// Makes demand for some models, so many requests a second each.
+/// Creates demand for some models, each with its requests per second.
 fn demand_for(models: &[(&str, f32)]) -> DemandSum {
-    let one = |(model, requests): &(&str, f32)| {
+    let demand_of = |(model, requests): &(&str, f32)| {
         let variant = Variant::adapted(*model, "a1");
         let demand = VariantDemand {
             variant: variant.clone(),
@@ -320,68 +335,69 @@
         };
         (variant, demand)
     };
-    let variants = models.iter().map(one).collect();
+    let variants = models.iter().map(demand_of).collect();
     DemandSum::from([(RegionBound::Anywhere, variants)])
 }
 
-/// Makes a placer that knows what each of some engines holds.
-fn knowing_many(held: &[&[(&str, &[&str])]]) -> Placer {
+/// Creates a placer that knows the holdings of some engines.
+fn placer_with_engines(holdings: &[&[(&str, &[&str])]]) -> Placer {
     let mut placer = placer();
-    placer.listed(&many(held.len()));
-    for (number, models) in held.iter().enumerate() {
+    placer.replace_listing(&listing_of_engines(holdings.len()));
+    for (number, models) in holdings.iter().enumerate() {
         let id = UpstreamId::new(format!("e{number}"));
-        let one = |(model, adapters): &(&str, &[&str])| {
+        let held_model = |(model, adapters): &(&str, &[&str])| {
             let adapters = adapters.iter().map(AdapterName::new).collect();
             (ModelName::new(*model), adapters)
         };
-        let models = models.iter().map(one).collect();
+        let models = models.iter().map(held_model).collect();
         let holding = Holding { sequence: 0, models };
         let copies = BTreeSet::new();
         let birth = Some(1);
         let report = EngineReport { birth, holding, copies, busy: false };
         let start = UpstreamStart { id, started_at_ms: birth };
-        placer.reported(&start, Ok(report), at(0));
+        placer.on_report(&start, Ok(report), at(0));
     }
     placer
 }
 
-/// Returns the adapters about which orders are under way.
-fn ordered(placer: &Placer) -> Vec<String> {
-    placer.ordered_now.iter().map(ToString::to_string).collect()
+/// Returns the adapters with a load order in flight.
+fn pending_orders(placer: &Placer) -> Vec<String> {
+    placer.pending_adapter_orders.iter().map(ToString::to_string).collect()
 }
 
 #[gtest]
 #[tokio::test]
-async fn free_places_are_filled_for_the_models_most_asked_for() {
+async fn adapters_are_preloaded_for_the_most_requested_models() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
-            let held: &[&[(&str, &[&str])]] = &[
+            let holdings: &[&[(&str, &[&str])]] = &[
                 &[("alpha", &[]), ("beta", &["a1"])],
                 &[("alpha", &[])],
                 &[("beta", &[])],
             ];
-            let mut placer = knowing_many(held);
+            let mut placer = placer_with_engines(holdings);
             let spec = spec_of(&["alpha", "beta"]);
             let service = ServiceName::new("engines");
             let demand = demand_for(&[("alpha", 0.5), ("beta", 3.0)]);
-            placer.bring_adapters(at(1_000), &service, &spec, &demand);
-            // What is there already is not brought, and no more than three at once.
+            placer.preload_adapters(at(1_000), &service, &spec, &demand);
+            // Adapters that an engine holds are not loaded, and no more than
+            // three loads are in flight.
             let expected = ["alpha/a1", "beta/a2", "beta/a3"];
-            expect_that!(ordered(&placer), eq(&expected));
+            expect_that!(pending_orders(&placer), eq(&expected));
         })
         .await;
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_wish_is_granted_by_an_engine_that_holds_the_model() {
+async fn a_load_request_is_served_by_an_engine_that_holds_the_model() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
-            let held: &[&[(&str, &[&str])]] =
+            let holdings: &[&[(&str, &[&str])]] =
                 &[&[("alpha", &["a1"])], &[("beta", &[])], &[("alpha", &[])]];
-            let mut placer = knowing_many(held);
+            let mut placer = placer_with_engines(holdings);
             let spec = spec_of(&["alpha", "beta"]);
             let service = ServiceName::new("engines");
             let demand = DemandSum::new();
@@ -389,45 +405,64 @@
             let variant = |model| Variant::adapted(model, "a1");
             for model in ["alpha", "beta", "gamma"] {
                 let (bound, variant) = (bound.clone(), variant(model));
-                placer.wished(Asked { bound, variant }, at(1_000));
+                placer.on_load_request(Asked { bound, variant }, at(1_000));
             }
-            placer.place_adapters(at(1_000), &service, &spec, &demand);
-            // One engine has the first already, and none is declared the last.
-            expect_that!(ordered(&placer), elements_are![eq("beta/a1")]);
-            expect_true!(placer.entries[&UpstreamId::new("e1")].under_way);
-            let wishes = placer.wishes.keys().map(|one| &one.variant.model);
-            let wishes: Vec<&str> = wishes.map(ModelName::as_str).collect();
-            expect_that!(wishes, elements_are![eq(&"beta"), eq(&"gamma")]);
+            placer.place_requested_adapters(
+                at(1_000),
+                &service,
+                &spec,
+                &demand,
+            );
+            // An engine holds the first adapter already, and the specification
+            // does not contain the last model.
+            expect_that!(
+                pending_orders(&placer),
+                elements_are![eq("beta/a1")]
+            );
+            expect_true!(
+                placer.entries[&UpstreamId::new("e1")].call_in_flight
+            );
+            let requests = placer
+                .load_requests
+                .keys()
+                .map(|requested| &requested.variant.model);
+            let requests: Vec<&str> =
+                requests.map(ModelName::as_str).collect();
+            expect_that!(requests, elements_are![eq(&"beta"), eq(&"gamma")]);
         })
         .await;
 }
 
-// A holder walked all engines for each wish, and made a list of all adapters on
-// all of them each time: 28 ms for 30 wishes and 36 ms for the list at 4,000
-// engines on a whole core, eight times that on the smallest machines. There,
-// 126 of 269 models and adapters that were asked for were never served.
+// A holder once scanned all engines for each load request, and listed all
+// adapters on all engines each time: 28 ms for 30 load requests and 36 ms for
+// the list with 4,000 engines on a whole core, and eight times as long on the
+// smallest machines. There, 126 of 269 requested models and adapters were
+// never served.
 #[gtest]
-fn engines_that_hold_a_model_are_found_without_the_others() {
-    let looked_at = |count: usize| {
+fn holders_of_a_model_are_found_without_scanning_all_engines() {
+    let holders_among = |count: usize| {
         let mut placer = placer();
-        placer.listed(&many(count));
+        placer.replace_listing(&listing_of_engines(count));
         let id = UpstreamId::new("e1");
         let held = Holding { sequence: 1, ..holding(1, &["beta"]) };
         let entry = placer.entries.get_mut(&id).unwrap();
         entry.holding = held;
-        placer.holders.note(&id, entry);
-        placer.holders.of(&ModelName::new("beta")).count()
+        placer.holders.record(&id, entry);
+        placer.holders.engines_with(&ModelName::new("beta")).count()
     };
-    expect_that!((looked_at(100), looked_at(4_000)), eq((1, 1)));
+    expect_that!((holders_among(100), holders_among(4_000)), eq((1, 1)));
 }
 
 #[gtest]
-fn engines_that_gave_a_model_up_are_forgotten() {
-    let mut placer = knowing();
+fn engines_that_unloaded_a_model_are_removed_from_its_holders() {
+    let mut placer = placer_with_engine();
     let beta = ModelName::new("beta");
-    expect_that!(placer.holders.of(&beta).count(), eq(1));
-    placer.reported(&start(1), report(1, 8, &["alpha"]), at(100));
+    expect_that!(placer.holders.engines_with(&beta).count(), eq(1));
+    placer.on_report(&start(1), report(1, 8, &["alpha"]), at(100));
     placer.holders.rebuild_if_due(&placer.entries, at(10_000));
-    expect_that!(placer.holders.of(&beta).count(), eq(0));
-    expect_that!(placer.holders.of(&ModelName::new("alpha")).count(), eq(1));
+    expect_that!(placer.holders.engines_with(&beta).count(), eq(0));
+    expect_that!(
+        placer.holders.engines_with(&ModelName::new("alpha")).count(),
+        eq(1)
+    );
 }
--- a/crates/valehold-gateway/src/control/publishing.rs
+++ b/crates/valehold-gateway/src/control/publishing.rs
@@ -90,8 +90,10 @@
         let listing: &Listing = self.upstreams.listing();
         match (holds_lease, was_following) {
             (false, _) => {}
-            (true, false) => self.placer.listed(listing),
-            (true, true) => self.placer.list_changes(&changes, listing),
+            (true, false) => self.placer.replace_listing(listing),
+            (true, true) => {
+                self.placer.apply_listing_changes(&changes, listing)
+            }
         }
     }
 }
--- a/crates/valehold-gateway/src/control/telling.rs
+++ b/crates/valehold-gateway/src/control/telling.rs
@@ -48,7 +48,7 @@
     fn heartbeat(&mut self, now: Millis) -> Heartbeat {
         self.sequence += 1;
         let settings = &self.shared.settings;
-        let lease = self.lease.borrow().word(now);
+        let lease = self.lease.borrow().claim(now);
         let holds_lease = matches!(lease, Some(LeaseWord::Holds { .. }));
         let loads = self.own_loads();
         self.advertised_loads = loads_by_upstream(&loads);
@@ -76,7 +76,7 @@
             // With many groups only hubs receive heartbeats, and holdings are
             // sent in messages of their own.
             holdings: match holds_lease && !self.roster.has_many_groups() {
-                true => self.placer.news(now),
+                true => self.placer.holdings_to_advertise(now),
                 false => Vec::new(),
             },
         }
@@ -175,7 +175,7 @@
         if !holds_lease || !self.roster.has_hubs() {
             return;
         }
-        let unloading = self.placer.unloading();
+        let unloading = self.placer.unloading_holdings();
         if !unloading.is_empty() {
             self.send_all(&Message::Holdings(unloading));
         }
@@ -322,8 +322,8 @@
                 self.on_heartbeat(from, *heartbeat, now);
             }
             Message::Wish(variant) => {
-                self.placer.wished(variant, now);
-                self.place_soon();
+                self.placer.on_load_request(variant, now);
+                self.request_placement();
             }
             Message::Holdings(holdings) => {
                 self.upstreams.receive_holdings(holdings, now);
@@ -458,7 +458,7 @@
         self.learn_paces(&heartbeat.paces, now);
         if let Some(claim) = heartbeat.lease {
             let report = LeaseRumour { from, word: claim, age_ms: 0 };
-            self.lease.borrow_mut().heard(report, now);
+            self.lease.borrow_mut().on_lease_report(report, now);
         }
         let is_new = self.roster.on_heartbeat(from, heartbeat, now);
         self.upstreams.receive_holdings(holdings, now);
@@ -474,7 +474,7 @@
 
     fn apply_lease_reports(&mut self, now: Millis) {
         for report in self.roster.lease_reports(now) {
-            self.lease.borrow_mut().heard(report, now);
+            self.lease.borrow_mut().on_lease_report(report, now);
         }
     }
 }
--- a/crates/valehold-gateway/src/control/upstreams.rs
+++ b/crates/valehold-gateway/src/control/upstreams.rs
@@ -84,7 +84,7 @@
         if self.lease.borrow().held_epoch(now).is_none() {
             return;
         }
-        let holdings = self.placer.news_beyond(&self.upstreams, now);
+        let holdings = self.placer.holdings_unknown_to(&self.upstreams, now);
         if holdings.is_empty() {
             return;
         }
