--- a/crates/valehold-gateway/src/control/behind.rs
+++ b/crates/valehold-gateway/src/control/behind.rs
@@ -33,8 +33,8 @@
 
 /// The further delay of the first store read if peers have complete state, in
 /// ms: gateways that read from peers can serve further readers. After all
-/// gateways were killed, reads of the store's whole list by every gateway would
-/// exceed the store's capacity.
+/// gateways were killed, reads of the store's whole list by every gateway
+/// would exceed the store's capacity.
 const PEER_PREFERENCE_MS: u64 = 3_000;
 
 /// The minimum delay after a failed read, in ms, and its random addition. A
@@ -166,10 +166,10 @@
     /// with the first. If many gateways are behind at once, few of them can
     /// read from the gateway known as the newest.
     fn read_state(&mut self, newest: SocketAddr, known: StateVersions) {
-        let near = self.roster.nearby_state_address(&self.shared.topology);
-        let is_first = self.catch_up.reads.is_multiple_of(2);
-        let peer = match near {
-            Some(near) if is_first && self.roster.has_hubs() => near,
+        let nearby = self.roster.nearby_state_address(&self.shared.topology);
+        let prefers_nearby = self.catch_up.reads.is_multiple_of(2);
+        let peer = match nearby {
+            Some(nearby) if prefers_nearby && self.roster.has_hubs() => nearby,
             _ => newest,
         };
         self.catch_up.reads += 1;
--- a/crates/valehold-gateway/src/control/crashes.rs
+++ b/crates/valehold-gateway/src/control/crashes.rs
@@ -122,18 +122,19 @@
         &mut self,
         now: Millis,
     ) -> (Vec<RefusedReport>, Vec<RequestContent>) {
-        let book = self.shared.crashes();
+        let crashes = self.shared.crashes();
         let sync = &mut self.record;
-        if sync.changes != book.changes() {
-            (sync.changes, sync.unchanged_since) = (book.changes(), now);
+        if sync.changes != crashes.changes() {
+            (sync.changes, sync.unchanged_since) = (crashes.changes(), now);
         }
-        if book.is_empty() || now.since(sync.unchanged_since) < RECORD_DELAY_MS
+        if crashes.is_empty()
+            || now.since(sync.unchanged_since) < RECORD_DELAY_MS
         {
             return (Vec::new(), Vec::new());
         }
-        let mut obsolete = book.recorded_but_answered();
+        let mut obsolete = crashes.recorded_but_answered();
         obsolete.retain(|content| !sync.removed.contains(content));
-        (book.unrecorded(now), obsolete)
+        (crashes.unrecorded(now), obsolete)
     }
 
     /// Handles the result of a call that reads or changes the record.
@@ -147,8 +148,9 @@
             Ok(listed) => {
                 self.record.has_read = true;
                 self.record.removed.extend(done.removed);
-                self.shared
-                    .change_crashes(|book| book.receive_recorded(listed, now));
+                self.shared.change_crashes(|crashes| {
+                    crashes.receive_recorded(listed, now)
+                });
             }
             Err(error) => {
                 log::debug!(
@@ -173,9 +175,9 @@
     /// Broadcasts the crash updates noted since the last call.
     pub(super) fn send_crash_updates(&mut self, now: Millis) {
         let updates = {
-            let mut book = self.shared.crashes();
-            book.prune(now);
-            book.take_updates(now)
+            let mut crashes = self.shared.crashes();
+            crashes.prune(now);
+            crashes.take_updates(now)
         };
         if !updates.is_empty() {
             self.record.must_reread = true;
@@ -213,7 +215,7 @@
 
     /// Merges crash reports of a peer.
     pub(super) fn receive_crashes(&self, reports: &CrashReports, now: Millis) {
-        self.shared.change_crashes(|book| book.receive(reports, now));
+        self.shared.change_crashes(|crashes| crashes.receive(reports, now));
     }
 }
 
--- a/crates/valehold-gateway/src/control/evacuating.rs
+++ b/crates/valehold-gateway/src/control/evacuating.rs
@@ -43,7 +43,7 @@
     }
 
     /// Applies an update of the orders from the store, and broadcasts the
-    /// orders if the update changed them.
+    /// orders if the update changed them and is not the first one.
     ///
     /// `store_was_unreachable` says that the store did not answer before. The
     /// store may then have accepted an order at any earlier time.
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -19,7 +19,8 @@
 //!   limited upstreams.
 //! - `upstreams` maintains the registry of upstreams, and `publishing`
 //!   provides it to traffic.
-//! - `lease`, `placement`, `placer`, `entry`, `needs` and `demand` place models.
+//! - `lease`, `placement`, `placer`, `entry`, `needs` and `demand` place
+//!   models.
 
 mod behind;
 mod cold;
