--- a/crates/valehold-core/examples/cold_rates.rs
+++ b/crates/valehold-core/examples/cold_rates.rs
@@ -22,7 +22,7 @@
 
 const BOUND: ColdBound = ColdBound { overshoot: 1.5, slack: 5.0 };
 
-const SPEC: ColdSpec = ColdSpec { lasts_ms: 3_000, bears_per_second: 13.0 };
+const SPEC: ColdSpec = ColdSpec { lasts_ms: 3_000, requests_per_second: 13.0 };
 
 /// The number of upstreams that restart together.
 const UPSTREAMS: usize = 20;
--- a/crates/valehold-core/src/fleet/tests.rs
+++ b/crates/valehold-core/src/fleet/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the fleet's decisions.
+//! Tests of the decisions about a fleet.
 
 mod adapters;
-mod asked;
 mod backoff;
 mod bound;
+mod bound_usage;
 mod catalog;
 mod choice;
 mod cold;
@@ -16,7 +16,7 @@
 mod pace;
 mod paces;
 mod path_cost;
-mod peaks;
+mod peak_demand;
 mod registry;
 mod rejections;
 mod replicas;
--- a/crates/valehold-gateway/src/control/demand.rs
+++ b/crates/valehold-gateway/src/control/demand.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use valehold_core::{Millis, fleet::Asked};
+use valehold_core::{Millis, fleet::BoundVariant};
 
 use crate::{
     peers::{
@@ -43,13 +43,17 @@
 /// The smoothed demand that arrives at this gateway.
 #[derive(Debug, Default)]
 pub(super) struct Demand {
-    rates: BTreeMap<Asked, Work>,
+    rates: BTreeMap<BoundVariant, Work>,
     updated: Millis,
 }
 
 impl Demand {
     /// Adds the work that arrived since the last call and decays earlier work.
-    pub(super) fn record(&mut self, work: BTreeMap<Asked, Work>, now: Millis) {
+    pub(super) fn record(
+        &mut self,
+        work: BTreeMap<BoundVariant, Work>,
+        now: Millis,
+    ) {
         #[allow(clippy::cast_precision_loss)]
         let elapsed_ms = now.since(self.updated).max(1) as f64;
         self.updated = now;
@@ -59,8 +63,8 @@
             rate.busy_ms *= decay;
         }
         let gain = (1.0 - decay) / elapsed_ms;
-        for (asked, work) in work {
-            let rate = self.rates.entry(asked).or_default();
+        for (bound_variant, work) in work {
+            let rate = self.rates.entry(bound_variant).or_default();
             rate.requests += work.requests * 1_000.0 * gain;
             rate.busy_ms += work.busy_ms * gain;
         }
@@ -72,16 +76,16 @@
     #[allow(clippy::cast_possible_truncation)]
     pub(super) fn by_bound(
         &self,
-        running: &BTreeMap<Asked, u32>,
+        running: &BTreeMap<BoundVariant, u32>,
     ) -> Vec<BoundDemand> {
         let mut rates = self.rates.clone();
-        for asked in running.keys() {
-            rates.entry(asked.clone()).or_default();
+        for bound_variant in running.keys() {
+            rates.entry(bound_variant.clone()).or_default();
         }
         let mut list: Vec<BoundDemand> = Vec::new();
-        for (asked, rate) in rates {
-            let running = running.get(&asked).copied().unwrap_or(0);
-            let Asked { bound, variant } = asked;
+        for (bound_variant, rate) in rates {
+            let running = running.get(&bound_variant).copied().unwrap_or(0);
+            let BoundVariant { bound, variant } = bound_variant;
             let one = VariantDemand {
                 variant,
                 requests: rate.requests as f32,
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -59,7 +59,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, EvacuationState, UpstreamRegistry,
+        BoundVariant, Catalog, EvacuationState, UpstreamRegistry,
         cold::PermitGrantor, lapsed::StoreAvailability,
     },
     id::{DataCentreId, InstanceId},
@@ -519,7 +519,7 @@
         }
     }
 
-    fn request_load(&mut self, variant: Asked) {
+    fn request_load(&mut self, variant: BoundVariant) {
         let now = self.now();
         if self.lease.borrow().held_epoch(now).is_some() {
             self.placer.on_load_request(variant, now);
--- a/crates/valehold-gateway/src/traffic/route.rs
+++ b/crates/valehold-gateway/src/traffic/route.rs
@@ -9,7 +9,7 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, Catalog, RegionBound, Route,
+        BoundVariant, Catalog, RegionBound, Route,
         catalog::{ColdSpec, EngineSpec},
         crashes::RequestContent,
         workspace::Workspace,
@@ -85,9 +85,9 @@
     }
 
     /// Returns which variant it asks for, inside its bound.
-    pub(super) fn asked(&self) -> Option<Asked> {
+    pub(super) fn asked(&self) -> Option<BoundVariant> {
         let variant = self.request.variant.clone()?;
-        Some(Asked { bound: self.bound.clone(), variant })
+        Some(BoundVariant { bound: self.bound.clone(), variant })
     }
 
     /// Returns how urgent it is, 0 being the most: by the rank of its
@@ -136,17 +136,17 @@
         }
     };
     let deadline_ms = said.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
-    let held_ms = match route.longest_ms {
+    let held_ms = match route.max_duration_ms {
         0 => deadline_ms,
-        longest_ms => deadline_ms.min(longest_ms),
+        max_duration_ms => deadline_ms.min(max_duration_ms),
     };
     let deadline = began + held_ms;
-    let limit = catalog.limits.body_bytes;
+    let limit = catalog.limits.body_limit_bytes;
     let body = read_body(app, body, limit, deadline)
         .await
         .map_err(|refusal| (id, refusal))?;
     let bound = match &workspace {
-        Some(workspace) => route.bound.and(&workspace.bound),
+        Some(workspace) => route.bound.intersection(&workspace.bound),
         None => route.bound.clone(),
     };
     Ok(Job {
