--- a/crates/valehold-gateway/src/control/input.rs
+++ b/crates/valehold-gateway/src/control/input.rs
@@ -18,7 +18,7 @@
     },
 };
 
-use super::crashes::RecordDone;
+use super::crashes::RecordSyncResult;
 use crate::peers::state::PeerState;
 
 /// A write of the lease's row that was sent to the store.
@@ -170,7 +170,7 @@
     /// An order ended.
     OrderFinished(PendingOrder, OrderResult),
     /// A call to the store about the record of refused requests ended.
-    RecordCallFinished(RecordDone),
+    RecordCallFinished(RecordSyncResult),
     /// A datagram arrived from an address.
     Datagram(SocketAddr, Vec<u8>),
 }
--- a/crates/valehold-gateway/src/control/loads.rs
+++ b/crates/valehold-gateway/src/control/loads.rs
@@ -42,7 +42,7 @@
     /// Sends this gateway's loads, or the sums of all, between heartbeats if
     /// the fleet has hubs.
     pub(super) fn send_loads(&mut self, now: Millis) {
-        self.loads_due = now + LOAD_REPORT_INTERVAL_MS;
+        self.next_loads_at = now + LOAD_REPORT_INTERVAL_MS;
         if !self.roster.has_hubs() {
             return;
         }
@@ -62,15 +62,15 @@
     /// Sends the sums and throttles to this gateway's group, and the loads and
     /// usage of the group to the hubs of other groups.
     fn send_sums(&mut self, now: Millis) {
-        let rulings = self.rule_limits(now);
+        let rulings = self.compute_throttles(now);
         let own = self.loads_to_report();
         self.sequence += 1;
         let number =
             MessageNumber { start: self.start, sequence: self.sequence };
         if !self.roster.remote_hubs().is_empty() {
             let sums = self.roster.sum_group_loads(&own, now);
-            let usage = self.group_usage(now);
-            let advertised = &mut self.told_group_sums;
+            let usage = self.changed_group_usage(now);
+            let advertised = &mut self.advertised_group_sums;
             let message = Message::GroupLoads(GroupLoads {
                 instance: self.shared.settings.instance.clone(),
                 number,
@@ -83,11 +83,13 @@
         }
         let sums = self.roster.sum_loads(&own, now);
         let loads = match self.reports_between_heartbeats() {
-            true => self.told_sums.next_update(&sums, MAX_SUMS_PER_UPDATE),
+            true => {
+                self.advertised_sums.next_update(&sums, MAX_SUMS_PER_UPDATE)
+            }
             false => LoadUpdate::default(),
         };
         let group = self.roster.summary_targets();
-        let paces = self.pace_news(now);
+        let paces = self.update_paces(now);
         let update = HubUpdate { number, loads, throttles: rulings, paces };
         self.send(group, &Message::HubUpdate(update));
     }
@@ -95,14 +97,14 @@
     /// Reports the loads and usage of this gateway to hubs if they changed.
     fn send_load_report(&mut self, now: Millis) {
         let loads = self.loads_to_report();
-        let usage = self.usage_news(now);
+        let usage = self.changed_usage(now);
         let paces = self.shared.take_pace_observations();
         let reported = loads_by_upstream(&loads);
-        let is_unchanged = reported == self.told_loads;
+        let is_unchanged = reported == self.advertised_loads;
         if is_unchanged && usage.is_empty() && paces.is_empty() {
             return;
         }
-        self.told_loads = reported;
+        self.advertised_loads = reported;
         self.sequence += 1;
         let report = LoadReport {
             instance: self.shared.settings.instance.clone(),
@@ -125,7 +127,7 @@
     fn loads_to_report(&self) -> Vec<UpstreamLoad> {
         match self.reports_between_heartbeats() {
             true => self.own_loads(),
-            false => load_list(&self.told_loads),
+            false => load_list(&self.advertised_loads),
         }
     }
 
@@ -141,7 +143,7 @@
 
     /// Publishes the loads of all other gateways to traffic.
     pub(super) fn publish_loads(&self, now: Millis) {
-        let others = self.roster.loads_of_others(&self.told_loads, now);
+        let others = self.roster.loads_of_others(&self.advertised_loads, now);
         self.shared.peer_loads.store(Arc::new(others));
     }
 }
--- a/crates/valehold-gateway/src/control/placement.rs
+++ b/crates/valehold-gateway/src/control/placement.rs
@@ -82,7 +82,7 @@
         let Some(catalog) = self.catalog.clone().filter(|_| may_order) else {
             return;
         };
-        if self.sums.is_old(now) {
+        if self.sums.is_stale(now) {
             self.sums = self.fleet_sums(now);
         }
         {
@@ -112,9 +112,10 @@
 
     /// Returns the sums of demand and loads over all gateways.
     fn fleet_sums(&self, now: Millis) -> Sums {
-        let own = self.demand.list(&self.shared.running());
+        let own = self.demand.by_bound(&self.shared.running());
         let demand = self.roster.sum_demand(&own, now);
-        let mut loads = self.roster.loads_of_others(&self.told_loads, now);
+        let mut loads =
+            self.roster.loads_of_others(&self.advertised_loads, now);
         for (start, load) in self.shared.loads().iter() {
             let sum: &mut Load = loads.entry(start.tag()).or_default();
             *sum = sum.plus(*load);
