--- a/crates/valehold-gateway/src/traffic/retry_after.rs
+++ b/crates/valehold-gateway/src/traffic/retry_after.rs
@@ -1,4 +1,4 @@
-//! Reading `Retry-After` (RFC 9110, 10.2.3).
+//! Parses `Retry-After` (RFC 9110, 10.2.3).
 
 use std::time::{Duration, SystemTime};
 
@@ -7,11 +7,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Returns for how long an answer says that nothing more is wanted.
+/// Returns the delay that the `Retry-After` header of an answer requests.
 ///
-/// Seconds may have a fraction. A date is counted from the answer's own
-/// `Date` where there is one, since clocks of machines differ. What is none
-/// of these, negative, or too long to be counted, says nothing.
+/// Seconds may have a fraction. A date is relative to the answer's own `Date`
+/// header if present, since the clocks of machines differ. Returns `None` if
+/// the value is missing, malformed, negative or too large for a `Duration`.
 pub(super) fn read(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(header::RETRY_AFTER)?.to_str().ok()?.trim();
     if let Ok(seconds) = text.parse::<f64>() {
--- a/crates/valehold-gateway/src/traffic/retry_after/tests.rs
+++ b/crates/valehold-gateway/src/traffic/retry_after/tests.rs
@@ -1,4 +1,4 @@
-//! What `Retry-After` may say, and what says nothing.
+//! Tests which values of `Retry-After` are accepted and which are ignored.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use super::read;
 
-fn said(text: &'static str) -> Option<Duration> {
+fn parse(text: &'static str) -> Option<Duration> {
     let mut headers = HeaderMap::new();
     headers.insert(header::RETRY_AFTER, HeaderValue::from_static(text));
     read(&headers)
@@ -15,26 +15,26 @@
 
 #[gtest]
 fn seconds_may_have_a_fraction() {
-    expect_that!(said("3"), some(eq(Duration::from_secs(3))));
-    expect_that!(said(" 0.25 "), some(eq(Duration::from_millis(250))));
-    expect_that!(said("0"), some(eq(Duration::ZERO)));
+    expect_that!(parse("3"), some(eq(Duration::from_secs(3))));
+    expect_that!(parse(" 0.25 "), some(eq(Duration::from_millis(250))));
+    expect_that!(parse("0"), some(eq(Duration::ZERO)));
 }
 
 #[gtest]
-fn what_is_no_time_says_nothing() {
+fn invalid_values_are_ignored() {
     for text in ["", "soon", "-1", "-0.5", "NaN", "inf", "1e300", "3 s"] {
-        expect_that!(said(text), none(), "{text}");
+        expect_that!(parse(text), none(), "{text}");
     }
     expect_that!(read(&HeaderMap::new()), none());
 }
 
 #[gtest]
-fn a_date_is_counted_from_the_answers_own() {
+fn a_date_is_relative_to_the_date_of_the_answer() {
     let mut headers = HeaderMap::new();
     let until = HeaderValue::from_static("Thu, 01 Jan 2026 00:00:09 GMT");
     let date = HeaderValue::from_static("Thu, 01 Jan 2026 00:00:04 GMT");
     headers.insert(header::RETRY_AFTER, until);
-    // It is long past by this machine's clock.
+    // By this machine's clock the date is long past.
     expect_that!(read(&headers), none());
     headers.insert(header::DATE, date);
     expect_that!(read(&headers), some(eq(Duration::from_secs(5))));
