--- a/crates/valehold-gateway/src/gateway.rs
+++ b/crates/valehold-gateway/src/gateway.rs
@@ -204,13 +204,13 @@
     }
 }
 
-async fn open_doors(settings: &Settings) -> Result<traffic::Doors, Error> {
+async fn open_doors(settings: &Settings) -> Result<traffic::Listeners, Error> {
     let callers = &settings.callers;
     let metrics = match callers.metrics {
         Some(address) => Some(bind(address).await?),
         None => None,
     };
-    Ok(traffic::Doors {
+    Ok(traffic::Listeners {
         requests: bind(callers.requests).await?,
         ready: bind(callers.ready).await?,
         addresses: bind(callers.addresses).await?,
--- a/crates/valehold-gateway/src/lib.rs
+++ b/crates/valehold-gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //! store, tells the others by heartbeats what it sends where, and can hold
 //! the lease under which models are placed.
 //!
-//! - [`traffic`] runs on a thread of its own: `face`, `choose`, `send` and
+//! - [`traffic`] runs on a thread of its own: `dispatch`, `choose`, `send` and
 //!   `answer` are the steps of a request.
 //! - [`control`] runs on another: feeds, peers, lease and placement.
 //!
--- a/crates/valehold-gateway/src/traffic/addresses.rs
+++ b/crates/valehold-gateway/src/traffic/addresses.rs
@@ -1,4 +1,4 @@
-//! Which gateways a caller is told of.
+//! Selects the gateway addresses that a caller is given.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -10,27 +10,27 @@
 
 use crate::view::ReadyMember;
 
-/// How many addresses are given at the most: callers take no more.
-pub const MOST_ADDRESSES: usize = 64;
+/// The maximum number of addresses in an answer: callers accept no more.
+pub const MAX_ADDRESSES: usize = 64;
 
-/// How many gateways nearby are enough for a caller: with one alone it would
-/// have nowhere to go when that one fails.
-const ENOUGH_NEAR: usize = 2;
+/// The number of nearby gateways that suffice for a caller. With a single one
+/// the caller would have no alternative when that gateway fails.
+const MIN_NEARBY: usize = 2;
 
-/// Who asks for addresses.
+/// A caller's request for gateway addresses.
 #[derive(Debug, Clone, Copy)]
-pub struct AskingCaller<'a> {
-    /// The data centre that it stands in, if it says so.
+pub struct AddressRequest<'a> {
+    /// The caller's data centre, if stated.
     pub data_centre: Option<&'a DataCentreId>,
-    /// Its region, if it says so.
+    /// The caller's region, if stated.
     pub region: Option<&'a RegionId>,
-    /// The bounds of the routes that it may use.
+    /// The region bounds of the routes that the caller may use.
     pub bounds: &'a [&'a RegionBound],
 }
 
-impl<'a> AskingCaller<'a> {
-    /// Returns its region: what it says goes before what is declared of its
-    /// data centre.
+impl<'a> AddressRequest<'a> {
+    /// Returns the caller's region. A stated region takes precedence over the
+    /// region declared for the caller's data centre.
     fn region(&self, topology: &'a Topology) -> Option<&'a RegionId> {
         let declared =
             self.data_centre.and_then(|one| topology.region_of(one));
@@ -38,42 +38,43 @@
     }
 
     /// Returns the bounds that name regions.
-    fn set_bounds(&self) -> impl Iterator<Item = &'a RegionBound> {
+    fn restricting_bounds(&self) -> impl Iterator<Item = &'a RegionBound> {
         let bounds = self.bounds.iter().copied();
         bounds.filter(|bound| bound.regions().is_some())
     }
 
     fn is_bound(&self) -> bool {
-        self.set_bounds().next().is_some()
+        self.restricting_bounds().next().is_some()
     }
 }
 
-/// Returns the addresses for a caller: those in its own data centre if they
-/// are enough, else those in its own region.
+/// Returns the addresses for a caller: the gateways in the caller's data centre
+/// if there are enough, else the gateways in the caller's region.
 ///
-/// Bodies that are bound to regions may be seen in the caller's own region
-/// and inside the bound alone. For a host with bound routes one gateway in the
-/// caller's region is therefore enough; without any, those are given that
-/// stand inside all of the bounds, then inside one of them. Only where there
-/// are none either are all given.
+/// Bodies that are bound to regions may be read only in the caller's own
+/// region and inside the bound. For a host with bound routes one gateway in the
+/// caller's region is therefore enough. Without any, the answer lists the
+/// gateways inside all of the bounds, or else those inside one of the bounds.
+/// If no gateway is inside a bound either, or if a host without bound routes
+/// has too few gateways in the region, all gateways are candidates.
 ///
-/// Where there are more than are given, they are drawn anew for each answer,
-/// so that callers together use all gateways alike.
+/// If there are more than [`MAX_ADDRESSES`] candidates, each answer gets a new
+/// random sample, so that callers together use all gateways equally.
 pub fn addresses_for(
     ready: &[ReadyMember],
-    caller: &AskingCaller<'_>,
+    request: &AddressRequest<'_>,
     topology: &Topology,
     rng: &mut impl Rng,
 ) -> BTreeSet<SocketAddr> {
-    let given = nearest(ready, caller, topology);
-    let addresses = given.into_iter().map(|member| member.requests);
-    addresses.choose_multiple(rng, MOST_ADDRESSES).into_iter().collect()
+    let members = candidates(ready, request, topology);
+    let addresses = members.into_iter().map(|member| member.requests);
+    addresses.choose_multiple(rng, MAX_ADDRESSES).into_iter().collect()
 }
 
-/// Returns the gateways that a caller may be told of.
-fn nearest<'a>(
+/// Returns the gateways that may be listed for a caller.
+fn candidates<'a>(
     ready: &'a [ReadyMember],
-    caller: &AskingCaller<'_>,
+    request: &AddressRequest<'_>,
     topology: &Topology,
 ) -> Vec<&'a ReadyMember> {
     let select = |which: &dyn Fn(&ReadyMember) -> bool| {
@@ -82,24 +83,24 @@
     let region_of =
         |member: &ReadyMember| topology.region_of(&member.data_centre);
     let near =
-        select(&|member| Some(&member.data_centre) == caller.data_centre);
-    if near.len() >= ENOUGH_NEAR {
+        select(&|member| Some(&member.data_centre) == request.data_centre);
+    if near.len() >= MIN_NEARBY {
         return near;
     }
-    let region = caller.region(topology);
+    let region = request.region(topology);
     let in_region =
         select(&|member| region.is_some() && region_of(member) == region);
-    let enough = if caller.is_bound() { 1 } else { ENOUGH_NEAR };
+    let enough = if request.is_bound() { 1 } else { MIN_NEARBY };
     if in_region.len() >= enough {
         return in_region;
     }
     let in_all = select(&|member| {
         let region = region_of(member);
-        caller.set_bounds().all(|bound| bound.allows(region))
+        request.restricting_bounds().all(|bound| bound.allows(region))
     });
     let in_one = select(&|member| {
         let region = region_of(member);
-        caller.set_bounds().any(|bound| bound.allows(region))
+        request.restricting_bounds().any(|bound| bound.allows(region))
     });
     let steps = [in_all, in_one];
     let found = steps.into_iter().find(|step| !step.is_empty());
--- a/crates/valehold-gateway/src/traffic/answer.rs
+++ b/crates/valehold-gateway/src/traffic/answer.rs
@@ -1,4 +1,4 @@
-//! Passing an upstream's answer on to the caller.
+//! Relays an upstream's answer to the caller.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,30 +18,30 @@
     Body, BrokenOff,
     exchange::{Exchange, Passable},
     route::Job,
-    send::{BegunAnswer, Rest, SendFailure},
+    send::{BegunAnswer, Reuse, SendFailure},
     state::{App, UnderWay},
 };
 use crate::view::Life;
 
-/// After which pause a resumable stream is taken up at another engine, if one
-/// can.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
+/// The pause after which a resumable stream is continued at another engine, if
+/// one is eligible.
+const MAX_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// An upstream's stream, from which whole events are taken.
+/// Reads complete events from an upstream's stream.
 pub(super) struct Relay {
     upstream: Arc<Upstream>,
     body: Incoming,
     sender: Option<SendRequest<Full<Bytes>>>,
-    rest: Option<Rest>,
+    reuse: Option<Reuse>,
     splitter: EventSplitter,
-    under_way: UnderWay,
+    in_flight: UnderWay,
     variant: Option<Variant>,
     began: Instant,
-    /// Events that were taken and not passed on yet.
+    /// Events that were read and not passed on yet.
     held: Option<Bytes>,
 }
 
-/// What came next of a stream.
+/// The next item of a stream.
 enum Next {
     Events(Bytes),
     End,
@@ -52,15 +52,15 @@
         upstream: Arc<Upstream>,
         job: &Job,
         begun: BegunAnswer,
-        under_way: UnderWay,
+        in_flight: UnderWay,
     ) -> Self {
         Self {
             upstream,
             body: begun.body,
             sender: Some(begun.sender),
-            rest: begun.rest,
+            reuse: begun.reuse,
             splitter: EventSplitter::default(),
-            under_way,
+            in_flight,
             variant: job.request.variant.clone(),
             began: Instant::now(),
             held: None,
@@ -75,21 +75,21 @@
     ) -> Result<Bytes, SendFailure> {
         let next = self.next(app, order).await;
         let next = next.map_err(|BrokenOff| SendFailure::cut_off())?;
-        self.under_way.prompt_read();
+        self.in_flight.prompt_read();
         self.began = Instant::now();
         match next {
             Next::Events(bytes) => Ok(bytes),
-            // A whole stream without events is one, too.
+            // A complete stream without events is also an answer.
             Next::End => Ok(Bytes::new()),
         }
     }
 
-    /// Keeps events until the answer is passed on.
+    /// Holds events until the answer is passed on.
     pub(super) fn hold(&mut self, events: Bytes) {
         self.held = Some(events);
     }
 
-    /// Tells whether events were taken that are to be passed on.
+    /// Returns whether held events wait to be passed on.
     pub(super) fn has_output(&self) -> bool {
         self.held.as_ref().is_some_and(|held| !held.is_empty())
     }
@@ -103,7 +103,7 @@
             return Ok(Next::Events(held));
         }
         loop {
-            let events = self.whole_events(order)?;
+            let events = self.complete_events(order)?;
             if !events.is_empty() {
                 return Ok(Next::Events(events));
             }
@@ -114,19 +114,22 @@
                     }
                 }
                 Some(Err(error)) => {
-                    log::debug!("{} broke off: {error}", self.upstream.id);
+                    log::debug!(
+                        "{} ended the stream early: {error}",
+                        self.upstream.id
+                    );
                     return Err(BrokenOff);
                 }
                 None if self.splitter.has_pending() => return Err(BrokenOff),
                 None => {
-                    self.let_rest(app);
+                    self.finish(app);
                     return Ok(Next::End);
                 }
             }
         }
     }
 
-    fn whole_events(
+    fn complete_events(
         &mut self,
         order: &mut EventOrder,
     ) -> Result<Bytes, BrokenOff> {
@@ -142,13 +145,13 @@
         }
     }
 
-    fn let_rest(&mut self, app: &App) {
+    fn finish(&mut self, app: &App) {
         let took_ms = self.began.elapsed().as_secs_f64() * 1_000.0;
         if let Some(variant) = &self.variant {
             app.note_slot_time(&variant.model, took_ms);
         }
-        if let (Some(sender), Some(rest)) = (self.sender.take(), self.rest) {
-            app.pool.rest(&self.upstream.start(), sender, rest.stated);
+        if let (Some(sender), Some(reuse)) = (self.sender.take(), self.reuse) {
+            app.pool.put_back(&self.upstream.start(), sender, reuse.stated);
         }
     }
 
@@ -157,13 +160,14 @@
     }
 }
 
-/// A stream on its way to the caller.
-struct Passing {
+/// Relays a stream to the caller, and resumes it at another engine if its
+/// upstream fails.
+struct StreamRelay {
     exchange: Exchange,
     relay: Option<Relay>,
 }
 
-impl Passing {
+impl StreamRelay {
     /// Returns the next events; `None` at the end.
     async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
         loop {
@@ -171,13 +175,11 @@
             let app = self.exchange.app.clone();
             let mut order = self.exchange.order;
             let start = relay.upstream_start();
-            let taking = relay.next(&app, &mut order);
-            let taken = self
-                .exchange
-                .patiently(&start.id, LONGEST_PAUSE, taking)
-                .await;
+            let reading = relay.next(&app, &mut order);
+            let read =
+                self.exchange.patiently(&start.id, MAX_PAUSE, reading).await;
             self.exchange.order = order;
-            match taken {
+            match read {
                 Some(Ok(Next::Events(events))) => {
                     self.exchange.record.passed_on();
                     return Some(Ok(events));
@@ -197,11 +199,11 @@
         }
     }
 
-    /// Takes the stream up at another engine, if that is allowed.
+    /// Resumes the stream at another engine, if that is allowed.
     async fn resume(&mut self) -> Result<(), BrokenOff> {
         let relay = self.relay.take().ok_or(BrokenOff)?;
         let start = relay.upstream_start();
-        // The engine stops working on it when its connection goes.
+        // The engine stops generating when its connection is closed.
         drop(relay);
         let resumed = self.exchange.resume(&start).await;
         self.relay = Some(resumed.ok_or(BrokenOff)?);
@@ -209,8 +211,8 @@
     }
 }
 
-/// Passes an answer on.
-pub(super) fn pass(
+/// Builds the response that relays an answer to the caller.
+pub(super) fn into_response(
     passable: Passable,
     mut exchange: Exchange,
 ) -> Response<Body> {
@@ -223,10 +225,10 @@
             Response::from_parts(head, Box::pin(body) as Body)
         }
         Passable::Stream { head, relay } => {
-            let passing = Passing { exchange, relay: Some(*relay) };
-            let events = stream::unfold(passing, |mut passing| async {
-                let next = passing.next().await?;
-                Some((next.map(Frame::data), passing))
+            let relaying = StreamRelay { exchange, relay: Some(*relay) };
+            let events = stream::unfold(relaying, |mut relaying| async {
+                let next = relaying.next().await?;
+                Some((next.map(Frame::data), relaying))
             });
             let body = Box::pin(StreamBody::new(events));
             Response::from_parts(head, body as Body)
--- a/crates/valehold-gateway/src/traffic/choose/engine.rs
+++ b/crates/valehold-gateway/src/traffic/choose/engine.rs
@@ -144,7 +144,7 @@
     };
     let known = if is_home { prompt.shared.max(hinted) } else { hinted };
     let way = app.way_to(&upstream.data_centre);
-    let connection_ms = match app.pool.has_resting(&start) {
+    let connection_ms = match app.pool.has_idle(&start) {
         true => 0.0,
         false => app.shared.settings.routing.connection_ms,
     };
--- a/crates/valehold-gateway/src/traffic/face.rs
+++ b/crates/valehold-gateway/src/traffic/dispatch.rs
@@ -1,4 +1,5 @@
-//! Requests as they come from connections, and calls to the gateway itself.
+//! Dispatches requests by listener: forwards callers' requests, and answers
+//! calls to the gateway itself.
 
 use std::{convert::Infallible, rc::Rc};
 
@@ -12,7 +13,7 @@
 
 use super::{
     Body,
-    addresses::{AskingCaller, addresses_for},
+    addresses::{AddressRequest, addresses_for},
     exchange,
     record::log_unrouted,
     refusal::plain,
@@ -21,12 +22,12 @@
 };
 use crate::view::Life;
 
-/// Which of a gateway's doors a connection came by.
+/// The kind of listener that accepted a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Door {
+pub enum Listener {
     /// Callers' requests.
     Requests,
-    /// Calls to the gateway itself.
+    /// Calls to the gateway itself, such as readiness checks.
     Own,
     /// Metrics.
     Metrics,
@@ -35,17 +36,19 @@
 /// Answers one request.
 pub(super) async fn answer(
     app: Rc<App>,
-    door: Door,
+    listener: Listener,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
-    Ok(match door {
-        Door::Requests => pass_on(app, request).await,
-        Door::Own => own(&app, &request),
-        Door::Metrics => plain(StatusCode::OK, app.shared.metrics.render()),
+    Ok(match listener {
+        Listener::Requests => forward(app, request).await,
+        Listener::Own => answer_own_call(&app, &request),
+        Listener::Metrics => {
+            plain(StatusCode::OK, app.shared.metrics.render())
+        }
     })
 }
 
-async fn pass_on(app: Rc<App>, request: Request<Incoming>) -> Response<Body> {
+async fn forward(app: Rc<App>, request: Request<Incoming>) -> Response<Body> {
     match route::find(&app, request).await {
         Ok(job) => exchange::lead(app, job).await,
         Err((id, refusal)) => {
@@ -55,7 +58,7 @@
     }
 }
 
-fn own(app: &App, request: &Request<Incoming>) -> Response<Body> {
+fn answer_own_call(app: &App, request: &Request<Incoming>) -> Response<Body> {
     match app.dialect.own_call(request.uri()) {
         OwnCall::Ready => ready(app),
         OwnCall::Addresses { host, data_centre, region } => {
@@ -84,14 +87,14 @@
         (Some(catalog), Some(host)) => catalog.bounds_of_host(host).collect(),
         _ => Vec::new(),
     };
-    let caller = AskingCaller {
+    let request = AddressRequest {
         data_centre: data_centre.as_ref(),
         region: region.as_ref(),
         bounds: &bounds,
     };
     let topology = &app.shared.topology;
     let addresses =
-        addresses_for(&view.ready, &caller, topology, &mut rand::rng());
+        addresses_for(&view.ready, &request, topology, &mut rand::rng());
     if addresses.is_empty() {
         return plain(StatusCode::SERVICE_UNAVAILABLE, "");
     }
--- a/crates/valehold-gateway/src/traffic/exchange/beginning.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/beginning.rs
@@ -50,8 +50,8 @@
 ) -> Result<Bytes, SendFailure> {
     let taking = Limited::new(begun.body, MOST_ANSWER_BYTES).collect();
     let taken = taking.await.map_err(|_| SendFailure::cut_off())?;
-    if let Some(rest) = begun.rest {
-        app.pool.rest(&upstream.start(), begun.sender, rest.stated);
+    if let Some(reuse) = begun.reuse {
+        app.pool.put_back(&upstream.start(), begun.sender, reuse.stated);
     }
     Ok(taken.to_bytes())
 }
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -35,7 +35,7 @@
     refusal::Refusal,
     rights,
     route::Job,
-    send::{SendFailure, is_promise},
+    send::{SendFailure, guarantees_not_run},
     state::App,
 };
 use crate::events::SendEnd;
@@ -89,7 +89,7 @@
         record: Record::new(app.shared.clock),
     };
     match exchange.run().await {
-        Ok(passable) => answer::pass(passable, exchange),
+        Ok(passable) => answer::into_response(passable, exchange),
         Err(refusal) => {
             exchange.log_refusal(&refusal);
             refusal.into_answer(&app, id.as_ref())
@@ -266,7 +266,7 @@
                 ..SendFailure::broken()
             });
         }
-        if is_promise(head.status) && !repeatable {
+        if guarantees_not_run(head.status) && !repeatable {
             // Only the upstream's word makes it a promise, and there is none.
             head.status = StatusCode::BAD_GATEWAY;
             self.app.dialect.unsign(&mut head.headers);
@@ -307,7 +307,7 @@
             self.app.shared.metrics.retried(failure.reason);
             return Ok(());
         }
-        let asked_ms = failure.rest.map(|rest| Millis::from(rest).get());
+        let asked_ms = failure.backoff.map(|rest| Millis::from(rest).get());
         Err(self.refuse_as_failed(asked_ms))
     }
 
@@ -323,7 +323,7 @@
         upstream: &UpstreamStart,
         failure: SendFailure,
     ) {
-        if let Some(why) = failure.turned_away {
+        if let Some(why) = failure.rejection {
             let variant = self.job.request.variant.as_ref();
             self.app.note_turned_away(upstream, variant, why);
         }
--- a/crates/valehold-gateway/src/traffic/mod.rs
+++ b/crates/valehold-gateway/src/traffic/mod.rs
@@ -1,10 +1,10 @@
 //! Callers' requests, on a thread of their own.
 //!
-//! A request goes straight through these modules: `face` takes it from the
+//! A request goes straight through these modules: `dispatch` takes it from the
 //! connection and answers calls to the gateway itself, `route` finds what the
 //! configuration says of it, `charge` counts it to its workspace's limit,
 //! `choose` finds an upstream, `rights` the right to send to one, `send`
-//! brings it there, `words` notes what the answer says of the upstream, and
+//! brings it there, `signals` notes what the answer says of the upstream, and
 //! `answer` passes the whole answer back, event by event where it is a stream.
 //! `exchange` leads it from one to the next.
 
@@ -13,8 +13,8 @@
 mod charge;
 mod choose;
 mod crashes;
+mod dispatch;
 mod exchange;
-mod face;
 mod pool;
 mod record;
 mod refusal;
@@ -23,15 +23,15 @@
 mod route;
 mod send;
 mod server;
+mod signals;
 mod state;
-mod words;
 
 use std::{convert::Infallible, pin::Pin};
 
 use bytes::Bytes;
 
 pub use self::{
-    server::{Doors, serve},
+    server::{Listeners, serve},
     state::App,
 };
 
--- a/crates/valehold-gateway/src/traffic/pool.rs
+++ b/crates/valehold-gateway/src/traffic/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams.
+//! A pool of connections to upstreams.
 
 use std::{
     cell::RefCell, collections::BTreeMap, net::SocketAddr, time::Duration,
@@ -14,116 +14,120 @@
 
 use crate::clock::Clock;
 
-/// How long a connection may take.
-const CONNECT: Duration = Duration::from_millis(300);
+/// How long connecting may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long sent bytes may stay unconfirmed.
-const SILENCE: Duration = Duration::from_millis(1_200);
+/// How long sent bytes may stay unacknowledged (`TCP_USER_TIMEOUT`).
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// After how long of silence a connection is probed, and again.
-const PROBE: Duration = Duration::from_secs(1);
+/// The idle time before the first keepalive probe, and between probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// For how long a connection rests if the upstream does not say.
-const REST: Duration = Duration::from_millis(2_500);
+/// How long a connection is kept idle if the upstream states no time.
+const DEFAULT_IDLE: Duration = Duration::from_millis(2_500);
 
-/// How much earlier than the upstream says a connection is given up.
-const REST_MARGIN: Duration = Duration::from_millis(700);
+/// How much earlier than the time stated by the upstream an idle connection is
+/// closed.
+const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// How many connections to an upstream rest at the most.
-const MOST_RESTING: usize = 12;
+/// The maximum number of idle connections to an upstream.
+const MAX_IDLE: usize = 12;
 
 /// A connection that can take one request at a time.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
-    /// How long it took to be made, if it was made just now.
-    pub(super) made_in: Option<Duration>,
+    /// How long connecting took, or `None` for a reused connection.
+    pub(super) connect_time: Option<Duration>,
 }
 
-struct Resting {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     until: Millis,
 }
 
-/// Connections that rest between requests.
+/// Keeps connections idle between requests for reuse.
 ///
-/// For how long is counted by a clock that counts suspensions: upstreams close
-/// what rested too long meanwhile, and what is sent on it then may be lost.
+/// The idle time is measured by a clock that counts suspensions of the machine:
+/// upstreams close connections that were idle for too long during a suspension,
+/// and a request sent on such a connection may be lost.
 pub(super) struct Pool {
     clock: Clock,
-    resting: RefCell<BTreeMap<UpstreamStart, Vec<Resting>>>,
+    idle: RefCell<BTreeMap<UpstreamStart, Vec<IdleConnection>>>,
 }
 
 impl Pool {
-    /// Makes a pool without connections.
+    /// Creates an empty pool.
     pub(super) fn new(clock: Clock) -> Self {
-        Self { clock, resting: RefCell::default() }
+        Self { clock, idle: RefCell::default() }
     }
 
-    /// Takes a resting connection, or makes one.
+    /// Takes an idle connection, or opens a new one.
     ///
     /// # Errors
     ///
-    /// If none can be made: nothing was sent.
+    /// If connecting fails. Nothing was sent in that case.
     pub(super) async fn take(
         &self,
         upstream: &UpstreamStart,
         address: SocketAddr,
     ) -> std::io::Result<Connection> {
-        if let Some(sender) = self.take_resting(upstream) {
-            return Ok(Connection { sender, made_in: None });
+        if let Some(sender) = self.take_idle(upstream) {
+            return Ok(Connection { sender, connect_time: None });
         }
-        let (sender, made_in) = connect(address).await?;
-        Ok(Connection { sender, made_in: Some(made_in) })
+        let (sender, connect_time) = connect(address).await?;
+        Ok(Connection { sender, connect_time: Some(connect_time) })
     }
 
-    fn take_resting(
+    fn take_idle(
         &self,
         upstream: &UpstreamStart,
     ) -> Option<SendRequest<Full<Bytes>>> {
         let now = self.clock.now();
-        let mut resting = self.resting.borrow_mut();
-        let connections = resting.get_mut(upstream)?;
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(upstream)?;
         connections.retain(|one| now < one.until && !one.sender.is_closed());
         let ready = connections.iter().rposition(|c| c.sender.is_ready())?;
         Some(connections.remove(ready).sender)
     }
 
-    /// Tells whether a connection to an upstream rests.
-    pub(super) fn has_resting(&self, upstream: &UpstreamStart) -> bool {
+    /// Returns whether the pool has an idle connection to an upstream.
+    pub(super) fn has_idle(&self, upstream: &UpstreamStart) -> bool {
         let now = self.clock.now();
-        let resting = self.resting.borrow();
-        let connections = resting.get(upstream).map_or(&[][..], Vec::as_slice);
+        let idle = self.idle.borrow();
+        let connections = idle.get(upstream).map_or(&[][..], Vec::as_slice);
         connections
             .iter()
             .any(|one| now < one.until && !one.sender.is_closed())
     }
 
-    /// Lets a connection rest whose answer was taken whole.
-    pub(super) fn rest(
+    /// Returns a connection to the pool after its answer was read completely.
+    ///
+    /// `stated` is the idle time that the upstream stated, if any.
+    pub(super) fn put_back(
         &self,
         upstream: &UpstreamStart,
         sender: SendRequest<Full<Bytes>>,
         stated: Option<Duration>,
     ) {
-        let rest =
-            stated.map_or(REST, |stated| stated.saturating_sub(REST_MARGIN));
-        if rest.is_zero() {
+        let keep = stated
+            .map_or(DEFAULT_IDLE, |stated| stated.saturating_sub(IDLE_MARGIN));
+        if keep.is_zero() {
             return;
         }
-        let until = self.clock.now() + Millis::from(rest).get();
-        let mut resting = self.resting.borrow_mut();
-        let connections = resting.entry(upstream.clone()).or_default();
-        if connections.len() < MOST_RESTING {
-            connections.push(Resting { sender, until });
+        let until = self.clock.now() + Millis::from(keep).get();
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(upstream.clone()).or_default();
+        if connections.len() < MAX_IDLE {
+            connections.push(IdleConnection { sender, until });
         }
     }
 
-    /// Closes what rested too long, and connections to starts of
-    /// upstreams that are not `known`.
-    pub(super) fn sweep(&self, known: impl Fn(&UpstreamStart) -> bool) {
+    /// Closes connections that were idle for too long, and those to upstream
+    /// starts for which `known` returns `false`.
+    pub(super) fn prune(&self, known: impl Fn(&UpstreamStart) -> bool) {
         let now = self.clock.now();
-        let mut resting = self.resting.borrow_mut();
-        resting.retain(|id, connections| {
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|id, connections| {
             connections
                 .retain(|one| now < one.until && !one.sender.is_closed());
             known(id) && !connections.is_empty()
@@ -131,32 +135,35 @@
     }
 }
 
-/// Connects, and says how long the upstream took to accept it.
+/// Connects to an upstream, and returns how long it took to accept.
 async fn connect(
     address: SocketAddr,
 ) -> std::io::Result<(SendRequest<Full<Bytes>>, Duration)> {
     let began = Instant::now();
     let connecting = TcpStream::connect(address);
-    let stream = tokio::time::timeout(CONNECT, connecting)
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
         .await
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
-    let made_in = began.elapsed();
+    let connect_time = began.elapsed();
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
-    socket.set_tcp_user_timeout(Some(SILENCE))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE)
-        .with_interval(PROBE)
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
         .with_retries(2);
     socket.set_tcp_keepalive(&probes)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(std::io::Error::other)?;
     tokio::task::spawn_local(async move {
-        // How a request on it ended is told by its answer.
+        // The outcome of a request is reported with its answer, so this error
+        // is only logged.
         if let Err(error) = connection.await {
-            log::debug!("a connection to an upstream ended: {error}");
+            log::debug!(
+                "a connection to an upstream ended with an error: {error}"
+            );
         }
     });
-    Ok((sender, made_in))
+    Ok((sender, connect_time))
 }
--- a/crates/valehold-gateway/src/traffic/record.rs
+++ b/crates/valehold-gateway/src/traffic/record.rs
@@ -82,8 +82,9 @@
     /// Notes that the last send failed.
     pub(super) fn failed(&mut self, failure: &SendFailure) {
         if let Some(send) = self.sends.last_mut() {
-            send.rest_ms = failure.rest.map(|rest| Millis::from(rest).get());
-            send.end = match failure.turned_away {
+            send.rest_ms =
+                failure.backoff.map(|rest| Millis::from(rest).get());
+            send.end = match failure.rejection {
                 Some(Rejection::NotHeld) => SendEnd::NotHeld,
                 Some(Rejection::Busy) => SendEnd::Busy,
                 None if failure.arrived => SendEnd::Broken,
--- a/crates/valehold-gateway/src/traffic/refusal.rs
+++ b/crates/valehold-gateway/src/traffic/refusal.rs
@@ -1,39 +1,40 @@
-//! Answers that are the gateway's own.
+//! Answers that the gateway gives in place of an upstream.
 
 use bytes::Bytes;
 use http::{HeaderName, HeaderValue, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full};
 use valehold_core::{Verdict, reason::RefusalReason};
 
-use super::{Body, BrokenOff, send::is_promise, state::App};
+use super::{Body, BrokenOff, send::guarantees_not_run, state::App};
 use crate::events::{RequestEnd, RequestOutcome};
 
-/// The header that names the reason.
+/// The header that states the reason for a refusal.
 const REASON: HeaderName = HeaderName::from_static("valehold-reason");
 
-/// A request that gets no upstream's answer.
+/// The refusal of a request that gets no answer of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Refusal {
     pub(super) reason: RefusalReason,
     /// Whether the request may have run.
     pub(super) verdict: Verdict,
-    /// In how many ms to come back.
-    pub(super) come_back_ms: u64,
+    /// After how many milliseconds the caller may retry.
+    pub(super) retry_after_ms: u64,
 }
 
 impl Refusal {
     /// Refuses a request that has not run and never will.
-    pub(super) fn not_run(reason: RefusalReason, come_back_ms: u64) -> Self {
-        Self { reason, verdict: Verdict::NotRun, come_back_ms }
+    pub(super) fn not_run(reason: RefusalReason, retry_after_ms: u64) -> Self {
+        Self { reason, verdict: Verdict::NotRun, retry_after_ms }
     }
 
-    /// Gives up a request that may have run.
+    /// Ends a request that may have run.
     pub(super) fn may_have_run(reason: RefusalReason) -> Self {
         let verdict = Verdict::MayHaveRun;
-        Self { reason, verdict, come_back_ms: 0 }
+        Self { reason, verdict, retry_after_ms: 0 }
     }
 
-    /// Returns the status: a promise only where the request has not run.
+    /// Returns the status. A status that guarantees that the request has not run
+    /// is used only if the request has not run.
     fn status(self) -> StatusCode {
         let status = match self.reason {
             RefusalReason::UnknownModel => StatusCode::NOT_FOUND,
@@ -49,24 +50,26 @@
             RefusalReason::TimedOut => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::BAD_GATEWAY,
         };
-        debug_assert!(self.verdict == Verdict::NotRun || !is_promise(status));
+        debug_assert!(
+            self.verdict == Verdict::NotRun || !guarantees_not_run(status)
+        );
         status
     }
 
     /// Returns how the request ended, for the log.
     pub(super) fn end(&self) -> RequestEnd {
         let status = self.status();
-        let is_promise = is_promise(status);
+        let guarantees_not_run = guarantees_not_run(status);
         RequestEnd {
             outcome: RequestOutcome::Refused,
             status: status.as_u16(),
             reason: Some(self.reason),
             verdict: self.verdict,
-            come_back_ms: is_promise.then_some(self.come_back_ms),
+            come_back_ms: guarantees_not_run.then_some(self.retry_after_ms),
         }
     }
 
-    /// Makes the answer.
+    /// Builds the answer to the caller.
     pub(super) fn into_answer(
         self,
         app: &App,
@@ -76,8 +79,8 @@
         let mut answer = plain(self.status(), self.reason.code());
         let headers = answer.headers_mut();
         headers.insert(REASON, HeaderValue::from_static(self.reason.code()));
-        if is_promise(answer.status()) {
-            let seconds = seconds(self.come_back_ms);
+        if guarantees_not_run(answer.status()) {
+            let seconds = seconds(self.retry_after_ms);
             if let Ok(seconds) = HeaderValue::from_str(&seconds) {
                 answer.headers_mut().insert(header::RETRY_AFTER, seconds);
             }
@@ -89,12 +92,12 @@
     }
 }
 
-/// Writes a time in seconds, with fractions.
+/// Formats milliseconds as seconds with three decimal places.
 fn seconds(millis: u64) -> String {
     format!("{}.{:03}", millis / 1_000, millis % 1_000)
 }
 
-/// Makes an answer of a status and a text.
+/// Builds an answer with a status and a text body.
 pub(super) fn plain(
     status: StatusCode,
     text: impl Into<Bytes>,
--- a/crates/valehold-gateway/src/traffic/send.rs
+++ b/crates/valehold-gateway/src/traffic/send.rs
@@ -1,4 +1,4 @@
-//! Bringing a request to an upstream, and what its answer's head says.
+//! Sends a request to an upstream, and evaluates the head of the answer.
 
 use std::time::Duration;
 
@@ -19,19 +19,19 @@
 use super::{
     retry_after, rights,
     route::Job,
+    signals::{self, UpstreamSignals},
     state::App,
-    words::{self, Words},
 };
 use crate::events::Event;
 
-/// How many connections in a row may turn out closed before the request was
-/// written.
-const MOST_CLOSED: usize = 3;
+/// The maximum number of attempts that fail in a row because the connection was
+/// closed before the request was written.
+const MAX_CLOSED: usize = 3;
 
-/// The least urgent grade that engines know.
+/// The least urgent grade that engines support.
 const LEAST_URGENT: u8 = 9;
 
-/// Headers that pertain to one connection only.
+/// Hop-by-hop headers, which apply to one connection only.
 const CONNECTION_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -42,42 +42,42 @@
     header::UPGRADE,
 ];
 
-/// A send that brought no answer to pass on.
+/// A send without an answer that can be passed on to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct SendFailure {
     /// Whether the request may have run.
     pub(super) verdict: Verdict,
-    /// Whether the upstream may have received it.
+    /// Whether the upstream may have received the request.
     pub(super) arrived: bool,
-    /// What is counted if another send follows.
+    /// The reason that is counted if a retry follows.
     pub(super) reason: RetryReason,
-    /// For how long the upstream asks for rest.
-    pub(super) rest: Option<Duration>,
-    /// Why the upstream says that it did not run the request.
-    pub(super) turned_away: Option<Rejection>,
-    /// Whether the connection ended before there was any output.
+    /// For how long the upstream requests that this gateway back off.
+    pub(super) backoff: Option<Duration>,
+    /// The reason that the upstream gave for not running the request.
+    pub(super) rejection: Option<Rejection>,
+    /// Whether the connection ended before any output arrived.
     pub(super) cut_off: bool,
 }
 
 impl SendFailure {
-    /// Nothing left this gateway.
+    /// Nothing was sent.
     fn not_sent() -> Self {
         Self {
             verdict: Verdict::NotRun,
             arrived: false,
             reason: RetryReason::ConnectFailed,
-            rest: None,
-            turned_away: None,
+            backoff: None,
+            rejection: None,
             cut_off: false,
         }
     }
 
-    /// Nothing left this gateway: the upstream is not to be sent to any more.
+    /// Nothing was sent, since the upstream may no longer be sent to.
     fn withheld(reason: RetryReason) -> Self {
         Self { reason, ..Self::not_sent() }
     }
 
-    /// Tells whether the upstream was not to be sent to any more.
+    /// Returns whether the upstream could no longer be sent to.
     pub(super) fn is_withheld(&self) -> bool {
         matches!(
             self.reason,
@@ -87,49 +87,49 @@
         )
     }
 
-    /// The upstream says that it did not run the request.
-    fn refused(why: Rejection, rest: Option<Duration>) -> Self {
+    /// The upstream states that it did not run the request.
+    fn refused(why: Rejection, backoff: Option<Duration>) -> Self {
         Self {
             verdict: Verdict::NotRun,
             arrived: true,
             reason: RetryReason::RefusedByUpstream,
-            rest,
-            turned_away: Some(why),
+            backoff,
+            rejection: Some(why),
             cut_off: false,
         }
     }
 
-    /// It was sent, and nothing tells that it did not run.
+    /// The request was sent, and nothing proves that it did not run.
     pub(super) fn broken() -> Self {
         Self {
             verdict: Verdict::MayHaveRun,
             arrived: true,
             reason: RetryReason::FailedBeforeOutput,
-            rest: None,
-            turned_away: None,
+            backoff: None,
+            rejection: None,
             cut_off: false,
         }
     }
 
-    /// It was sent, and the connection ended before there was any output.
+    /// The request was sent, and the connection ended before any output arrived.
     pub(super) fn cut_off() -> Self {
         Self { cut_off: true, ..Self::broken() }
     }
 }
 
-/// An answer that began.
+/// An answer whose head arrived.
 pub(super) struct BegunAnswer {
     pub(super) head: Parts,
     pub(super) body: Incoming,
     pub(super) sender: SendRequest<Full<Bytes>>,
-    /// For how long the connection may rest; `None` if it is not kept.
-    pub(super) rest: Option<Rest>,
+    /// For how long the connection may be reused; `None` if it is closed.
+    pub(super) reuse: Option<Reuse>,
 }
 
-/// How long a connection may rest after its answer.
+/// How long a connection may stay idle for reuse after its answer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Rest {
-    /// What the upstream stated, if anything.
+pub(super) struct Reuse {
+    /// The idle time that the upstream stated, if any.
     pub(super) stated: Option<Duration>,
 }
 
@@ -150,9 +150,10 @@
         after_event,
     };
     let mut request = write_request(job);
-    // The first request after a rest is this one also on a second connection.
+    // The permission to send the first request after a backoff also holds for
+    // another attempt on a second connection.
     let mut is_cleared = false;
-    for _ in 0..MOST_CLOSED {
+    for _ in 0..MAX_CLOSED {
         let taken = app.pool.take(&upstream.start(), upstream.address).await;
         let mut connection = taken.map_err(|error| {
             let upstream_id = upstream.id.clone();
@@ -163,11 +164,11 @@
             rights::may_have_restarted(app, job, upstream);
             SendFailure::not_sent()
         })?;
-        if let Some(made_in) = connection.made_in {
-            app.note_connected(&upstream.data_centre, made_in);
+        if let Some(connect_time) = connection.connect_time {
+            app.note_connected(&upstream.data_centre, connect_time);
         }
-        // A connection takes time to be made, and the machine may have been
-        // suspended meanwhile: what is left is said as of now.
+        // Connecting takes time, and the machine may have been suspended
+        // meanwhile, so the remaining time is computed again.
         sending.left = clock.until(job.deadline);
         if sending.left.is_zero() {
             return Err(SendFailure::not_sent());
@@ -176,11 +177,11 @@
         if !rights::may_send(app, job, upstream, right) {
             return Err(SendFailure::withheld(RetryReason::RightOver));
         }
-        if words::has_left(app, upstream) {
+        if signals::has_left(app, upstream) {
             let reason = RetryReason::UpstreamLeaving;
             return Err(SendFailure::withheld(reason));
         }
-        if !is_cleared && !words::may_send(app, upstream) {
+        if !is_cleared && !signals::may_send(app, upstream) {
             let reason = RetryReason::UpstreamResting;
             return Err(SendFailure::withheld(reason));
         }
@@ -189,18 +190,25 @@
         let answering = connection.sender.try_send_request(request);
         match answering.await {
             Ok(answer) => {
-                let answer = Answered { answer, sent };
-                return begun(app, job, upstream, answer, connection.sender);
+                let answer = TimedAnswer { answer, sent };
+                return evaluate_head(
+                    app,
+                    job,
+                    upstream,
+                    answer,
+                    connection.sender,
+                );
             }
             Err(mut error) => match error.take_message() {
-                // It was never written: the connection was closed already.
-                Some(unsent) if connection.made_in.is_none() => {
+                // The request was never written: the reused connection was
+                // already closed.
+                Some(unsent) if connection.connect_time.is_none() => {
                     request = unsent
                 }
                 Some(_) => return Err(SendFailure::not_sent()),
                 None => {
                     log::debug!(
-                        "{} broke off: {}",
+                        "{} ended the connection early: {}",
                         upstream.id,
                         error.error()
                     );
@@ -235,7 +243,7 @@
     path.map_or_else(|| uri.clone(), http::Uri::from)
 }
 
-/// Takes off what pertains to one connection only.
+/// Removes hop-by-hop headers, including those named by `Connection`.
 pub(super) fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -249,55 +257,55 @@
     }
 }
 
-/// An answer of which the head arrived.
-struct Answered {
+/// An answer and the time of its request.
+struct TimedAnswer {
     answer: Response<Incoming>,
-    /// When its request was sent.
+    /// When the request was sent.
     sent: Millis,
 }
 
-/// Judges the head of an answer.
-fn begun(
+/// Decides by the head of an answer whether the answer can be passed on.
+fn evaluate_head(
     app: &App,
     job: &Job,
     upstream: &Upstream,
-    answered: Answered,
+    answered: TimedAnswer,
     sender: SendRequest<Full<Bytes>>,
 ) -> Result<BegunAnswer, SendFailure> {
     let (mut head, body) = answered.answer.into_parts();
-    let said = app.dialect.read_answer(head.status, &head.headers);
-    let words = |rest| Words {
-        leaving: said.leaving,
-        rest,
-        limit: said.limit,
+    let stated = app.dialect.read_answer(head.status, &head.headers);
+    let signals = |backoff| UpstreamSignals {
+        leaving: stated.leaving,
+        backoff,
+        limit: stated.limit,
         sent: answered.sent,
     };
-    if said.id != job.request.id {
-        // Another request's answer: the connection goes with it.
+    if stated.id != job.request.id {
+        // The answer belongs to another request, so the connection is closed.
         return Err(SendFailure::broken());
     }
-    if said.not_run {
+    if stated.not_run {
         let why = match head.status {
             StatusCode::MISDIRECTED_REQUEST => Rejection::NotHeld,
             _ => Rejection::Busy,
         };
-        let rest = retry_after::read(&head.headers);
+        let backoff = retry_after::read(&head.headers);
         if why == Rejection::Busy {
-            words::note(app, upstream, words(rest));
+            signals::record(app, upstream, signals(backoff));
         }
-        return Err(SendFailure::refused(why, rest));
+        return Err(SendFailure::refused(why, backoff));
     }
-    let is_foreign = head.headers.contains_key(header::CONTENT_ENCODING)
-        || (head.status.is_success() && !said.signed);
-    if is_foreign {
+    let is_invalid = head.headers.contains_key(header::CONTENT_ENCODING)
+        || (head.status.is_success() && !stated.signed);
+    if is_invalid {
         return Err(SendFailure::broken());
     }
-    let rest = match asks_for_rest(head.status) {
+    let backoff = match may_request_backoff(head.status) {
         true => retry_after::read(&head.headers),
         false => None,
     };
-    words::note(app, upstream, words(rest));
-    if !asks_for_rest(head.status) {
+    signals::record(app, upstream, signals(backoff));
+    if !may_request_backoff(head.status) {
         app.shared.rests().record_accepted(&upstream.start(), app.now());
     }
     let closes = head
@@ -307,20 +315,20 @@
         .any(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
     strip(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
-    let rest = (!closes).then_some(Rest { stated: said.rest });
-    Ok(BegunAnswer { head, body, sender, rest })
+    let reuse = (!closes).then_some(Reuse { stated: stated.rest });
+    Ok(BegunAnswer { head, body, sender, reuse })
 }
 
-/// Tells whether an upstream that answers with a status may ask for rest.
-fn asks_for_rest(status: StatusCode) -> bool {
+/// Returns whether an answer with a status may request a backoff.
+fn may_request_backoff(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
     )
 }
 
-/// Tells whether a status promises that the request has not run.
-pub(super) fn is_promise(status: StatusCode) -> bool {
+/// Returns whether a status guarantees that the request has not run.
+pub(super) fn guarantees_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS
--- a/crates/valehold-gateway/src/traffic/server.rs
+++ b/crates/valehold-gateway/src/traffic/server.rs
@@ -1,4 +1,4 @@
-//! Taking connections, and closing them without cutting a request.
+//! Accepts connections, and shuts down without cutting off a request.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -11,56 +11,60 @@
 
 use valehold_core::Millis;
 
-use super::{App, face, face::Door};
+use super::{App, dispatch, dispatch::Listener};
 use crate::view::Life;
 
-/// How long a connection may rest while no configuration says so.
-const REST: Duration = Duration::from_secs(15);
+/// How long a connection may stay idle while no configuration is loaded.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How often resting connections to upstreams are looked through.
-const SWEEP: Duration = Duration::from_secs(1);
+/// How often expired state, such as idle connections to upstreams, is pruned.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// For how many times as long as they are told some callers keep an address.
-const KEEPS: u32 = 3;
+/// Some callers keep an address for up to this multiple of the advertised
+/// time.
+const ADDRESS_KEEP_FACTOR: u32 = 3;
 
-/// How much sooner than that no more requests are taken, so that the last
-/// ones have the time that a stop allows.
-const LINGER_LESS: Duration = Duration::from_millis(100);
+/// How much earlier than the end of that multiple the gateway stops accepting
+/// requests, so that the last requests have the time that a stop allows.
+const LINGER_MARGIN: Duration = Duration::from_millis(100);
 
-/// The greatest part of the time for a stop in which requests are taken.
-const MOST_LINGER_PART: f64 = 0.6;
+/// The largest fraction of the time for a stop in which requests are still
+/// accepted.
+const MAX_LINGER_FRACTION: f64 = 0.6;
 
-/// The part of the time for a stop after which nothing is waited for.
-const STOP_PART: f64 = 0.93;
+/// The fraction of the time for a stop after which the gateway no longer waits
+/// for open connections.
+const DRAIN_FRACTION: f64 = 0.93;
 
-/// The doors of a gateway.
-pub struct Doors {
+/// The listening sockets of a gateway.
+pub struct Listeners {
     /// For callers' requests.
     pub requests: TcpListener,
-    /// For the platform's question whether it is ready.
+    /// For the platform's readiness checks.
     pub ready: TcpListener,
-    /// For callers who ask for addresses.
+    /// For callers' requests for gateway addresses.
     pub addresses: TcpListener,
     /// For metrics.
     pub metrics: Option<TcpListener>,
 }
 
-/// How often it is looked whether all connections are closed.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// The interval at which a stop polls for open connections, and the pause
+/// after a failed accept.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Counts the connections that are open.
+/// Counts open connections.
 #[derive(Debug, Clone, Default)]
-struct Open(Rc<Cell<usize>>);
+struct OpenConnections(Rc<Cell<usize>>);
 
-impl Open {
+impl OpenConnections {
     fn enter(&self) -> OpenGuard {
         self.0.set(self.0.get() + 1);
         OpenGuard(self.clone())
     }
 }
 
-/// One open connection.
-struct OpenGuard(Open);
+/// Counts one connection as open until dropped.
+struct OpenGuard(OpenConnections);
 
 impl Drop for OpenGuard {
     fn drop(&mut self) {
@@ -69,87 +73,94 @@
     }
 }
 
-/// What a door needs.
+/// Accepts the connections of one listener.
 #[derive(Clone)]
-struct Doorkeeper {
+struct ConnectionAcceptor {
     app: Rc<App>,
-    open: Open,
+    open: OpenConnections,
     life: watch::Receiver<Life>,
 }
 
 /// Serves until this gateway has stopped.
-pub async fn serve(app: App, doors: Doors) {
+pub async fn serve(app: App, listeners: Listeners) {
     let app = Rc::new(app);
     let life = app.shared.watch_life();
-    let keeper = Doorkeeper { app: app.clone(), open: Open::default(), life };
-    tokio::task::spawn_local(sweep(app));
+    let acceptor = ConnectionAcceptor {
+        app: app.clone(),
+        open: OpenConnections::default(),
+        life,
+    };
+    tokio::task::spawn_local(prune_periodically(app));
     let others = [
-        (Some(doors.ready), Door::Own),
-        (Some(doors.addresses), Door::Own),
-        (doors.metrics, Door::Metrics),
+        (Some(listeners.ready), Listener::Own),
+        (Some(listeners.addresses), Listener::Own),
+        (listeners.metrics, Listener::Metrics),
     ];
-    for (listener, door) in others {
-        if let Some(listener) = listener {
-            tokio::task::spawn_local(keeper.clone().accept(listener, door));
+    for (socket, kind) in others {
+        if let Some(socket) = socket {
+            tokio::task::spawn_local(acceptor.clone().accept(socket, kind));
         }
     }
-    let taking = keeper.clone().accept(doors.requests, Door::Requests);
-    let requests = tokio::task::spawn_local(taking);
-    keeper.finish(requests).await;
+    let accepting =
+        acceptor.clone().accept(listeners.requests, Listener::Requests);
+    let requests = tokio::task::spawn_local(accepting);
+    acceptor.finish(requests).await;
 }
 
-impl Doorkeeper {
-    /// Waits for a stop, serves who still comes, and closes.
+impl ConnectionAcceptor {
+    /// Waits for a stop, keeps accepting requests from callers that still use
+    /// this address, then waits until open connections are closed.
     async fn finish(mut self, requests: tokio::task::JoinHandle<()>) {
-        // An error means that control has ended: a reason to stop as well.
+        // An error means that control has ended, which is also a reason to
+        // stop.
         let _ = self.life.wait_for(|life| *life == Life::Leaving).await;
-        // The platform ends the process when the time for a stop is over, and
-        // counts the time for which the machine was suspended.
+        // The platform ends the process when the time for a stop is over. That
+        // time includes suspensions of the machine, so this clock does too.
         let shared = &self.app.shared;
         let (clock, began) = (shared.clock, shared.clock.now());
         let callers = &shared.settings.callers;
         let stop = Duration::from_secs_f64(callers.stop_s);
         let keep = Duration::from_secs(callers.address_keep_s);
-        let linger = (keep * KEEPS)
-            .saturating_sub(LINGER_LESS)
-            .min(stop.mul_f64(MOST_LINGER_PART));
+        let linger = (keep * ADDRESS_KEEP_FACTOR)
+            .saturating_sub(LINGER_MARGIN)
+            .min(stop.mul_f64(MAX_LINGER_FRACTION));
         let lingers_until = began + Millis::from(linger).get();
         let pending = std::future::pending::<()>();
         clock.wait_until(lingers_until, pending).await;
         shared.set_life(Life::Finishing);
         let _ = requests.await;
-        let end = began + Millis::from(stop.mul_f64(STOP_PART)).get();
+        let end = began + Millis::from(stop.mul_f64(DRAIN_FRACTION)).get();
         while self.open.0.get() > 0 && clock.now() < end {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn accept(mut self, listener: TcpListener, door: Door) {
+    async fn accept(mut self, socket: TcpListener, listener: Listener) {
         loop {
             let accepted = tokio::select! {
-                accepted = listener.accept() => accepted,
+                accepted = socket.accept() => accepted,
                 _ = self.life.wait_for(is_finishing) => return,
             };
             match accepted {
-                Ok((stream, _)) => self.take(stream, door),
+                Ok((stream, _)) => self.serve(stream, listener),
                 Err(error) => {
-                    log::warn!("a connection was not taken: {error}");
-                    tokio::time::sleep(LOOK_EVERY).await;
+                    log::warn!("accepting a connection failed: {error}");
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             }
         }
     }
 
-    fn take(&self, stream: TcpStream, door: Door) {
-        // Events are passed on as they come.
+    fn serve(&self, stream: TcpStream, listener: Listener) {
+        // Sends each event of a stream without delay (no Nagle batching).
         let _ = stream.set_nodelay(true);
-        let handling = self.app.clone();
+        let app = self.app.clone();
         let service = service_fn(move |request| {
-            face::answer(handling.clone(), door, request)
+            dispatch::answer(app.clone(), listener, request)
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(self.rest())
+            .header_read_timeout(self.idle_timeout())
             .serve_connection(TokioIo::new(stream), service);
         let open = self.open.enter();
         let mut life = self.life.clone();
@@ -163,17 +174,20 @@
                 }
             };
             if let Err(error) = ended {
-                log::debug!("a caller's connection ended: {error}");
+                log::debug!(
+                    "a caller's connection ended with an error: {error}"
+                );
             }
             drop(open);
         });
     }
 
-    /// Returns how long a connection may rest, or take to send a head.
-    fn rest(&self) -> Duration {
+    /// Returns how long a connection may stay idle, or take to send the head of
+    /// a request.
+    fn idle_timeout(&self) -> Duration {
         let view = self.app.shared.view.load();
         let limits = view.catalog.as_ref().map(|catalog| catalog.limits);
-        limits.map_or(REST, |limits| {
+        limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| {
             let longest = limits.rest_ms.max(limits.head_within_ms);
             Duration::from_millis(longest)
         })
@@ -184,9 +198,9 @@
     *life == Life::Finishing
 }
 
-async fn sweep(app: Rc<App>) {
+async fn prune_periodically(app: Rc<App>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(PRUNE_INTERVAL).await;
         app.sweep();
     }
 }
--- /dev/null
+++ b/crates/valehold-gateway/src/traffic/signals.rs
@@ -0,0 +1,82 @@
+//! Records the signals about an upstream that its answers carry: leaving,
+//! backoff and rate limit.
+
+use std::time::Duration;
+
+use valehold_core::{
+    Millis,
+    fleet::{Upstream, UpstreamStart, upstream_limit::StatedLimit},
+};
+
+use super::state::App;
+use crate::events::{Event, WordSource};
+
+/// The signals about an upstream in one of its answers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct UpstreamSignals {
+    /// Whether the upstream is leaving.
+    pub(super) leaving: bool,
+    /// For how long the upstream requests that this gateway back off.
+    pub(super) backoff: Option<Duration>,
+    /// The number of requests a second that the upstream accepts.
+    pub(super) limit: StatedLimit,
+    /// When the answered request was sent.
+    pub(super) sent: Millis,
+}
+
+/// Returns whether an upstream is leaving or no longer listed.
+///
+/// This is checked again after the choice: connecting takes time, and the
+/// machine may have been suspended since.
+pub(super) fn has_left(app: &App, upstream: &Upstream) -> bool {
+    let view = app.shared.view.load();
+    let listed = view.listing.upstreams.get(&upstream.id);
+    listed.is_none_or(|listed| listed.leaving)
+}
+
+/// Returns whether the backoff that an upstream requested permits a send now.
+///
+/// This is checked again after the choice: other requests may have been
+/// rejected since, and after a backoff a single request goes first.
+pub(super) fn may_send(app: &App, upstream: &Upstream) -> bool {
+    let mut rests = app.shared.rests();
+    rests.is_empty() || rests.try_acquire(&upstream.start(), app.now())
+}
+
+/// Records the signals in an answer.
+///
+/// The answer must be known to come from `upstream`: it carries the identifier
+/// of the request, and is not a refusal by another upstream that was not the
+/// intended one.
+pub(super) fn record(
+    app: &App,
+    upstream: &Upstream,
+    signals: UpstreamSignals,
+) {
+    let start = upstream.start();
+    if signals.leaving {
+        app.shared.say_leaving(start.clone());
+    }
+    record_limit(app, &start, signals);
+    let Some(backoff) = signals.backoff else { return };
+    let is_new = app.shared.rests().record(&start, backoff, app.now());
+    if is_new {
+        app.shared.metrics.upstream_rests();
+        let for_ms = Millis::from(backoff).get();
+        Event::UpstreamRests { upstream: start.id, for_ms }.log();
+    }
+}
+
+fn record_limit(app: &App, start: &UpstreamStart, signals: UpstreamSignals) {
+    let report = app.shared.upstream_limits().on_answer(
+        start,
+        signals.sent,
+        signals.limit,
+        app.now(),
+    );
+    let Some(report) = report else { return };
+    app.shared.say_limit(start.clone());
+    let source = WordSource::Answer;
+    app.shared.metrics.upstream_limit(report.limit.is_none(), source);
+    Event::of_limit(&report, source).log();
+}
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -185,7 +185,7 @@
         self.shared.rests().prune(known, now);
         self.shared.upstream_limits().prune(known);
         // Who leaves can end sooner without connections that rest.
-        self.pool.sweep(|start| {
+        self.pool.prune(|start| {
             listing.get_start(start).is_some_and(|one| !one.leaving)
         });
     }
--- a/crates/valehold-gateway/tests/addresses.rs
+++ b/crates/valehold-gateway/tests/addresses.rs
@@ -10,7 +10,7 @@
     id::{DataCentreId, RegionId},
 };
 use valehold_gateway::{
-    traffic::addresses::{AskingCaller, MOST_ADDRESSES, addresses_for},
+    traffic::addresses::{AddressRequest, MAX_ADDRESSES, addresses_for},
     view::ReadyMember,
 };
 
@@ -50,7 +50,7 @@
     data_centre: Option<&DataCentreId>,
     rng: &mut StdRng,
 ) -> BTreeSet<SocketAddr> {
-    let caller = AskingCaller { data_centre, region: None, bounds: &[] };
+    let caller = AddressRequest { data_centre, region: None, bounds: &[] };
     addresses_for(ready, &caller, &topology(&[]), rng)
 }
 
@@ -63,7 +63,7 @@
 ) -> Vec<u8> {
     let mut rng = StdRng::seed_from_u64(1);
     let bounds: Vec<&RegionBound> = bounds.iter().collect();
-    let caller = AskingCaller {
+    let caller = AddressRequest {
         data_centre: Some(&DataCentreId::new(data_centre)),
         region: None,
         bounds: &bounds,
@@ -101,7 +101,7 @@
     let mut told_of = BTreeSet::new();
     for _ in 0..40 {
         let told = told(&ready, Some(&north), &mut rng);
-        expect_that!(told.len(), eq(MOST_ADDRESSES));
+        expect_that!(told.len(), eq(MAX_ADDRESSES));
         told_of.extend(told);
     }
     expect_that!(told_of.len(), eq(200));
@@ -155,7 +155,7 @@
     let mut ready = members("n1", 0..2);
     ready.extend(members("s1", 2..4));
     let (south, unknown) = (RegionId::new("south"), DataCentreId::new("x9"));
-    let caller = AskingCaller {
+    let caller = AddressRequest {
         data_centre: Some(&unknown),
         region: Some(&south),
         bounds: &[],
