--- a/crates/valehold-gateway/src/traffic/addresses.rs
+++ b/crates/valehold-gateway/src/traffic/addresses.rs
@@ -48,12 +48,12 @@
     }
 }
 
-/// Returns the addresses for a caller: the gateways in the caller's data centre
-/// if there are enough, else the gateways in the caller's region.
+/// Returns the addresses for a caller: the gateways in the caller's data
+/// centre if there are enough, else the gateways in the caller's region.
 ///
 /// Bodies that are bound to regions may be read only in the caller's own
-/// region and inside the bound. For a host with bound routes one gateway in the
-/// caller's region is therefore enough. Without any, the answer lists the
+/// region and inside the bound. For a host with bound routes one gateway in
+/// the caller's region is therefore enough. Without any, the answer lists the
 /// gateways inside all of the bounds, or else those inside one of the bounds.
 /// If no gateway is inside a bound either, or if a host without bound routes
 /// has too few gateways in the region, all gateways are candidates.
--- a/crates/valehold-gateway/src/traffic/pool.rs
+++ b/crates/valehold-gateway/src/traffic/pool.rs
@@ -47,9 +47,9 @@
 
 /// Keeps connections idle between requests for reuse.
 ///
-/// The idle time is measured by a clock that counts suspensions of the machine:
-/// upstreams close connections that were idle for too long during a suspension,
-/// and a request sent on such a connection may be lost.
+/// The idle time is measured by a clock that counts suspensions of the
+/// machine: upstreams close connections that were idle for too long during a
+/// suspension, and a request sent on such a connection may be lost.
 pub(super) struct Pool {
     clock: Clock,
     idle: RefCell<BTreeMap<UpstreamStart, Vec<IdleConnection>>>,
--- a/crates/valehold-gateway/src/traffic/refusal.rs
+++ b/crates/valehold-gateway/src/traffic/refusal.rs
@@ -33,8 +33,8 @@
         Self { reason, verdict, retry_after_ms: 0 }
     }
 
-    /// Returns the status. A status that guarantees that the request has not run
-    /// is used only if the request has not run.
+    /// Returns the status. A status that guarantees that the request has not
+    /// run is used only if the request has not run.
     fn status(self) -> StatusCode {
         let status = match self.reason {
             RefusalReason::UnknownModel => StatusCode::NOT_FOUND,
--- a/crates/valehold-gateway/src/traffic/send.rs
+++ b/crates/valehold-gateway/src/traffic/send.rs
@@ -24,8 +24,8 @@
 };
 use crate::events::Event;
 
-/// The maximum number of attempts that fail in a row because the connection was
-/// closed before the request was written.
+/// The maximum number of attempts that fail in a row because the connection
+/// was closed before the request was written.
 const MAX_CLOSED: usize = 3;
 
 /// The least urgent grade that engines support.
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The request was sent, and the connection ended before any output arrived.
+    /// The request was sent, and the connection ended before any output.
     pub(super) fn cut_off() -> Self {
         Self { cut_off: true, ..Self::broken() }
     }
--- a/crates/valehold-gateway/src/traffic/server.rs
+++ b/crates/valehold-gateway/src/traffic/server.rs
@@ -182,8 +182,8 @@
         });
     }
 
-    /// Returns how long a connection may stay idle, or take to send the head of
-    /// a request.
+    /// Returns how long a connection may stay idle, or take to send the head
+    /// of a request.
     fn idle_timeout(&self) -> Duration {
         let view = self.app.shared.view.load();
         let limits = view.catalog.as_ref().map(|catalog| catalog.limits);
