--- a/crates/valehold-gateway/src/control/placer/adapters.rs
+++ b/crates/valehold-gateway/src/control/placer/adapters.rs
@@ -8,9 +8,10 @@
 use valehold_core::{
     Millis,
     fleet::{
-        Asked, RegionBound, Variant,
+        BoundVariant, RegionBound, Variant,
         adapters::{
-            AdapterHost, AdapterStep, AdapterUse, place_adapter, roomiest_host,
+            AdapterHost, AdapterStep, AdapterUsage, host_with_fewest_adapters,
+            place_adapter,
         },
         catalog::{EngineSpec, ModelSpec},
     },
@@ -122,7 +123,7 @@
         let due = due.filter_map(|(requested, request)| {
             request.is_due(now).then(|| requested.clone())
         });
-        let due: Vec<Asked> = due.collect();
+        let due: Vec<BoundVariant> = due.collect();
         for requested in due {
             self.place_requested_adapter(
                 now, service, spec, demand, &requested,
@@ -138,9 +139,9 @@
         service: &ServiceName,
         spec: &EngineSpec,
         demand: &DemandSum,
-        requested: &Asked,
+        requested: &BoundVariant,
     ) {
-        let Asked { bound, variant } = requested;
+        let BoundVariant { bound, variant } = requested;
         if self.is_served(service, bound, variant) {
             self.load_requests.remove(requested);
             return;
@@ -208,7 +209,9 @@
         });
         let Some(variant) = missing.next() else { return false };
         let hosts = self.hosts(now, service, &anywhere, &model.name);
-        let Some(engine) = roomiest_host(&hosts, &model.name, spec) else {
+        let Some(engine) =
+            host_with_fewest_adapters(&hosts, &model.name, spec)
+        else {
             return false;
         };
         let engine = engine.clone();
@@ -246,7 +249,7 @@
             .map(|(id, entry)| AdapterHost {
                 engine: id,
                 holding: &entry.holding,
-                young: &entry.recent_adapters,
+                recent: &entry.recent_adapters,
             })
             .collect()
     }
@@ -269,13 +272,13 @@
 }
 
 /// Returns the usage of a variant, over all bounds.
-fn usage_of(demand: &DemandSum, variant: &Variant) -> AdapterUse {
-    let mut usage = AdapterUse::default();
+fn usage_of(demand: &DemandSum, variant: &Variant) -> AdapterUsage {
+    let mut usage = AdapterUsage::default();
     for variant_demand in
         demand.values().filter_map(|variants| variants.get(variant))
     {
-        usage.requests += f64::from(variant_demand.requests);
-        usage.runs |= variant_demand.running > 0;
+        usage.requests_per_second += f64::from(variant_demand.requests);
+        usage.is_running |= variant_demand.running > 0;
     }
     usage
 }
