--- a/crates/valehold-gateway/src/lib.rs
+++ b/crates/valehold-gateway/src/lib.rs
@@ -7,7 +7,7 @@
 //! its load to the others by heartbeats, and can hold the lease under which
 //! models are placed.
 //!
-//! - [`traffic`] runs on one thread and handles requests in the steps `face`,
+//! - [`traffic`] runs on one thread and handles requests in the steps `dispatch`,
 //!   `choose`, `send` and `answer`.
 //! - [`control`] runs on another thread and handles feeds, peers, the lease and
 //!   placement.
--- a/crates/valehold-gateway/src/traffic/choose/engine.rs
+++ b/crates/valehold-gateway/src/traffic/choose/engine.rs
@@ -157,7 +157,7 @@
     let cached =
         if is_home { prompt.shared.max(hinted_blocks) } else { hinted_blocks };
     let path = app.path_cost(&upstream.data_centre);
-    let connection_ms = match app.pool.has_resting(&start) {
+    let connection_ms = match app.pool.has_idle(&start) {
         true => 0.0,
         false => app.shared.settings.routing.connection_ms,
     };
--- a/crates/valehold-gateway/src/traffic/exchange/beginning.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/beginning.rs
@@ -52,8 +52,8 @@
 ) -> Result<Bytes, SendFailure> {
     let reading = Limited::new(begun.body, MAX_ANSWER_BYTES).collect();
     let collected = reading.await.map_err(|_| SendFailure::cut_off())?;
-    if let Some(rest) = begun.rest {
-        app.pool.rest(&upstream.start(), begun.sender, rest.stated);
+    if let Some(reuse) = begun.reuse {
+        app.pool.put_back(&upstream.start(), begun.sender, reuse.stated);
     }
     Ok(collected.to_bytes())
 }
--- a/crates/valehold-gateway/src/traffic/exchange/mod.rs
+++ b/crates/valehold-gateway/src/traffic/exchange/mod.rs
@@ -35,7 +35,7 @@
     record::Record,
     refusal::Refusal,
     route::Job,
-    send::{SendFailure, is_promise},
+    send::{SendFailure, guarantees_not_run},
     state::App,
 };
 use crate::events::SendEnd;
@@ -93,7 +93,7 @@
         record: Record::new(app.shared.clock),
     };
     match exchange.run().await {
-        Ok(received) => answer::pass(received, exchange),
+        Ok(received) => answer::into_response(received, exchange),
         Err(refusal) => {
             exchange.log_refusal(&refusal);
             refusal.into_answer(&app, id.as_ref())
@@ -277,7 +277,7 @@
                 ..SendFailure::broken()
             });
         }
-        if is_promise(head.status) && !repeatable {
+        if guarantees_not_run(head.status) && !repeatable {
             // The status would promise the caller that the request did not
             // run. Only a statement of the upstream makes this certain, and
             // the answer contains none.
@@ -323,7 +323,7 @@
             self.app.shared.metrics.retried(failure.reason);
             return Ok(());
         }
-        let backoff_ms = failure.rest.map(|rest| Millis::from(rest).get());
+        let backoff_ms = failure.backoff.map(|rest| Millis::from(rest).get());
         Err(self.refuse_as_failed(backoff_ms))
     }
 
@@ -342,7 +342,7 @@
         upstream: &UpstreamStart,
         failure: SendFailure,
     ) {
-        if let Some(rejection) = failure.turned_away {
+        if let Some(rejection) = failure.rejection {
             let variant = self.job.request.variant.as_ref();
             self.app.record_rejection(upstream, variant, rejection);
         }
--- a/crates/valehold-gateway/src/traffic/mod.rs
+++ b/crates/valehold-gateway/src/traffic/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! Each request passes through these modules in order:
 //!
-//! - `face` accepts the request from the connection, and answers calls to the
+//! - `dispatch` accepts the request from the connection, and answers calls to the
 //!   gateway itself.
 //! - `route` finds the route, the service and the workspace of the request.
 //! - `charge` charges the request against the limit of its workspace.
 //! - `choose` chooses an upstream.
 //! - `permits` acquires a send permit if the upstream requires one.
 //! - `send` sends the request to the upstream.
-//! - `words` records what the answer states about the upstream: a shutdown, a
+//! - `signals` records what the answer states about the upstream: a shutdown, a
 //!   backoff or a request limit.
 //! - `answer` relays the answer to the caller, event by event if the answer is
 //!   a stream.
@@ -21,8 +21,8 @@
 mod charge;
 mod choose;
 mod crashes;
+mod dispatch;
 mod exchange;
-mod face;
 mod permits;
 mod pool;
 mod record;
@@ -31,15 +31,15 @@
 mod route;
 mod send;
 mod server;
+mod signals;
 mod state;
-mod words;
 
 use std::{convert::Infallible, pin::Pin};
 
 use bytes::Bytes;
 
 pub use self::{
-    server::{Doors, serve},
+    server::{Listeners, serve},
     state::App,
 };
 
--- a/crates/valehold-gateway/src/traffic/state.rs
+++ b/crates/valehold-gateway/src/traffic/state.rs
@@ -208,7 +208,7 @@
         self.shared.upstream_limits().prune(is_current);
         // An upstream that is leaving can end sooner if no idle connections to
         // the upstream remain.
-        self.pool.sweep(|start| {
+        self.pool.prune(|start| {
             listing.get_start(start).is_some_and(|one| !one.leaving)
         });
     }
--- a/crates/valehold-gateway/tests/addresses.rs
+++ b/crates/valehold-gateway/tests/addresses.rs
@@ -10,7 +10,7 @@
     id::{DataCentreId, RegionId},
 };
 use valehold_gateway::{
-    traffic::addresses::{AskingCaller, MOST_ADDRESSES, addresses_for},
+    traffic::addresses::{AddressRequest, MAX_ADDRESSES, addresses_for},
     view::ReadyMember,
 };
 
@@ -50,7 +50,7 @@
     data_centre: Option<&DataCentreId>,
     rng: &mut StdRng,
 ) -> BTreeSet<SocketAddr> {
-    let caller = AskingCaller { data_centre, region: None, bounds: &[] };
+    let caller = AddressRequest { data_centre, region: None, bounds: &[] };
     addresses_for(ready, &caller, &topology(&[]), rng)
 }
 
@@ -63,7 +63,7 @@
 ) -> Vec<u8> {
     let mut rng = StdRng::seed_from_u64(1);
     let bounds: Vec<&RegionBound> = bounds.iter().collect();
-    let caller = AskingCaller {
+    let caller = AddressRequest {
         data_centre: Some(&DataCentreId::new(data_centre)),
         region: None,
         bounds: &bounds,
@@ -101,7 +101,7 @@
     let mut all_given = BTreeSet::new();
     for _ in 0..40 {
         let given = given(&ready, Some(&north), &mut rng);
-        expect_that!(given.len(), eq(MOST_ADDRESSES));
+        expect_that!(given.len(), eq(MAX_ADDRESSES));
         all_given.extend(given);
     }
     expect_that!(all_given.len(), eq(200));
@@ -155,7 +155,7 @@
     let mut ready = members("n1", 0..2);
     ready.extend(members("s1", 2..4));
     let (south, unknown) = (RegionId::new("south"), DataCentreId::new("x9"));
-    let caller = AskingCaller {
+    let caller = AddressRequest {
         data_centre: Some(&unknown),
         region: Some(&south),
         bounds: &[],
