--- a/crates/valehold-gateway/src/events/mod.rs
+++ b/crates/valehold-gateway/src/events/mod.rs
@@ -1,9 +1,9 @@
 //! Typed events that a gateway logs about its decisions.
 //!
 //! An event is one line of JSON. Its first field, `event`, is one of
-//! [`EventKind::ALL`]; `docs/OPERATIONS.md` lists them, and a test holds the
-//! list to the code. Each request logs one line when it ends, with every send
-//! and the inputs of each decision.
+//! [`EventKind::ALL`]; `docs/OPERATIONS.md` lists the kinds, and a test
+//! checks that the list matches the code. Each request logs one line at its
+//! end, with every send and the inputs of each decision.
 
 mod describe;
 mod request;
@@ -214,11 +214,11 @@
     },
     /// A configuration came into force.
     ConfigurationInForce {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
         /// The previous version in force; 0 if there was none.
         before: u64,
-        /// The source from which this gateway received it.
+        /// The source of the configuration or order.
         source: CatalogSource,
     },
     /// Routes and workspaces of a configuration that came into force have no
@@ -242,7 +242,7 @@
         left_ms: u64,
         /// Whether the settings name the data centre.
         is_declared: bool,
-        /// The source from which this gateway received it.
+        /// The source of the configuration or order.
         source: CatalogSource,
     },
     /// Upstreams of an evacuated data centre no longer receive requests.
@@ -317,7 +317,7 @@
     StoreRestored {
         /// The number of restores so far.
         era: u64,
-        /// The number of restores before this one.
+        /// The number of restores that this gateway knew of before.
         before: u64,
     },
     /// The store no longer has the history after the version that a watch
@@ -330,7 +330,7 @@
     },
     /// A full list of upstreams was ignored because a newer version is known.
     ListLeftOut {
-        /// Its version.
+        /// The version of the ignored list.
         version: u64,
         /// The version that this gateway already has.
         known: u64,
@@ -433,7 +433,7 @@
     /// Returns the log level of the event.
     ///
     /// When lines have to be dropped, lines of failed requests take
-    /// precedence. Normal events of requests are logged only on demand.
+    /// precedence. Requests without a problem are logged only at debug level.
     pub fn level(&self) -> log::Level {
         match self {
             Self::RequestEnded(ended) => ended.level(),
--- a/crates/valehold-gateway/src/events/request.rs
+++ b/crates/valehold-gateway/src/events/request.rs
@@ -27,7 +27,7 @@
     NotHeld,
     /// The upstream is full and did not run the request.
     Busy,
-    /// The answer was truncated, invalid or too late.
+    /// The answer was truncated, missing, invalid or too late.
     Broken,
     /// The upstream answered with a failure.
     Failed,
@@ -109,8 +109,8 @@
 pub enum PassedOverFor {
     /// The upstream is leaving.
     Leaving,
-    /// The upstream is in backoff, or another request is the first one after
-    /// the backoff.
+    /// The upstream requested a backoff from this gateway, or another request
+    /// is the first one after the backoff.
     Resting,
     /// The upstream limits its requests, and no permit to send was available.
     Limited,
