--- a/crates/valehold-core/src/fleet/cold/mod.rs
+++ b/crates/valehold-core/src/fleet/cold/mod.rs
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBound {
     /// The factor by which the requests in any one second may exceed
-    /// [`ColdSpec::bears_per_second`].
+    /// [`ColdSpec::requests_per_second`].
     pub overshoot: f64,
     /// The number of requests allowed in any one second beyond that.
     pub slack: f64,
--- a/crates/valehold-gateway/src/control/leaving.rs
+++ b/crates/valehold-gateway/src/control/leaving.rs
@@ -5,7 +5,7 @@
 
 use super::Control;
 use crate::{
-    events::{Event, WordSource},
+    events::{Event, ReportSource},
     peers::Message,
 };
 
@@ -36,7 +36,7 @@
     pub(super) fn on_leaving(
         &mut self,
         starts: &[UpstreamStart],
-        source: WordSource,
+        source: ReportSource,
         now: Millis,
     ) {
         let mut new = Vec::new();
@@ -54,7 +54,7 @@
         // Each view that changes upstreams copies the list. If many upstreams
         // leave together, one view covers all that arrived since the last.
         self.publish_if_due();
-        if source == WordSource::Answer {
+        if source == ReportSource::Answer {
             let at = now + REPEAT_AFTER_MS;
             let repeats = new.iter().map(|start| (at, start.clone()));
             self.advertised_leaving.repeats.extend(repeats);
--- a/crates/valehold-gateway/src/control/mod.rs
+++ b/crates/valehold-gateway/src/control/mod.rs
@@ -81,7 +81,7 @@
     publishing::Published,
 };
 use crate::{
-    events::{Event, WordSource},
+    events::{Event, ReportSource},
     peers::{
         Roster,
         fragments::Reassembler,
@@ -344,7 +344,7 @@
                     self.request_permit(request),
                 Some(start) = wishes.leaving.recv() => {
                     let now = self.now();
-                    self.on_leaving(&[start], WordSource::Answer, now);
+                    self.on_leaving(&[start], ReportSource::Answer, now);
                 }
                 Some(start) = wishes.limit_changes.recv() =>
                     self.on_limit_stated(&start),
@@ -504,7 +504,7 @@
                 self.shared.metrics.ordered(end.label());
                 if end.reports_leaving() {
                     let start = order.engine.clone();
-                    let source = WordSource::Answer;
+                    let source = ReportSource::Answer;
                     self.on_leaving(&[start], source, now);
                 }
                 self.placer.on_order_finished(order, &end, now);
--- a/crates/valehold-gateway/src/control/telling.rs
+++ b/crates/valehold-gateway/src/control/telling.rs
@@ -8,7 +8,7 @@
 
 use super::{Control, rank};
 use crate::{
-    events::{CatalogSource, Event, WordSource},
+    events::{CatalogSource, Event, ReportSource},
     peers::{
         Heartbeat, Message,
         fragments::Fragment,
@@ -394,7 +394,7 @@
             }
             Message::Crashes(reports) => self.receive_crashes(&reports, now),
             Message::Leaving(starts) => {
-                self.on_leaving(&starts, WordSource::Peer, now);
+                self.on_leaving(&starts, ReportSource::Peer, now);
             }
             Message::UpstreamLimits(reports) => {
                 self.receive_limits(&reports, now);
--- a/crates/valehold-gateway/src/control/upstream_limits.rs
+++ b/crates/valehold-gateway/src/control/upstream_limits.rs
@@ -12,7 +12,7 @@
 
 use super::Control;
 use crate::{
-    events::{Event, WordSource},
+    events::{Event, ReportSource},
     peers::Message,
 };
 
@@ -90,7 +90,7 @@
             match merged {
                 LimitMerge::Unchanged => {}
                 LimitMerge::Applied => {
-                    let source = WordSource::Peer;
+                    let source = ReportSource::Peer;
                     let is_lifted = report.limit.is_none();
                     self.shared.metrics.upstream_limit(is_lifted, source);
                     Event::of_limit(report, source).log();
--- a/crates/valehold-gateway/src/metrics.rs
+++ b/crates/valehold-gateway/src/metrics.rs
@@ -16,7 +16,7 @@
     reason::{RefusalReason, RetryReason},
 };
 
-use crate::{error::Error, events::WordSource};
+use crate::{error::Error, events::ReportSource};
 
 /// A registry that creates instruments and exports their values as text.
 #[derive(Debug, Clone)]
@@ -234,7 +234,7 @@
     }
 
     /// Counts an upstream that announced that it is leaving.
-    pub fn upstream_leaving(&self, source: WordSource) {
+    pub fn upstream_leaving(&self, source: ReportSource) {
         self.leaving.add(1, &[KeyValue::new("source", source.label())]);
     }
 
@@ -244,7 +244,7 @@
     }
 
     /// Counts a limit that an upstream stated or lifted.
-    pub fn upstream_limit(&self, is_over: bool, source: WordSource) {
+    pub fn upstream_limit(&self, is_over: bool, source: ReportSource) {
         let change = if is_over { "over" } else { "named" };
         let change = KeyValue::new("change", change);
         self.upstream_limits
--- a/crates/valehold-gateway/src/traffic/record.rs
+++ b/crates/valehold-gateway/src/traffic/record.rs
@@ -19,8 +19,8 @@
     state::App,
 };
 use crate::events::{
-    BoundRecord, EVENT_TARGET, Event, RequestCourse, RequestEnd, RequestEnded,
-    RequestOutcome, SendEnd, SendRecord,
+    BoundRecord, EVENT_TARGET, Event, RequestEnd, RequestEnded,
+    RequestOutcome, RequestSummary, SendEnd, SendRecord,
 };
 use crate::{clock::Clock, view::View};
 
@@ -127,9 +127,9 @@
 
     /// Returns the properties of the request that determine the level of its
     /// log line.
-    fn course(&self, end: RequestEnd) -> RequestCourse {
+    fn course(&self, end: RequestEnd) -> RequestSummary {
         let record = &self.record;
-        RequestCourse {
+        RequestSummary {
             end,
             first_ms: record.first.map(|at| at.since(record.arrived)),
             longest_pause_ms: record.longest_pause_ms,
--- a/crates/valehold-gateway/src/traffic/signals.rs
+++ b/crates/valehold-gateway/src/traffic/signals.rs
@@ -9,7 +9,7 @@
 };
 
 use super::state::App;
-use crate::events::{Event, WordSource};
+use crate::events::{Event, ReportSource};
 
 /// The signals about an upstream in one of its answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -76,7 +76,7 @@
     );
     let Some(report) = report else { return };
     app.shared.report_limit_change(start.clone());
-    let source = WordSource::Answer;
+    let source = ReportSource::Answer;
     app.shared.metrics.upstream_limit(report.limit.is_none(), source);
     Event::of_limit(&report, source).log();
 }
